--- a/packages/gateway/src/lib/configuration/Configuration.ts
+++ b/packages/gateway/src/lib/configuration/Configuration.ts
@@ -1,17 +1,18 @@
 import * as z from "zod/mini";
 
 /**
- * What the operators declare for the gateway. All times are in milliseconds, all memory in megabytes of 10^6 bytes.
+ * The configuration that operators declare for the gateway. All times are in milliseconds, all memory in megabytes of
+ * 10^6 bytes.
  */
 
-/** One kind of accelerator that an engine runs on. */
+/** An accelerator type that an engine runs on. */
 export const acceleratorSchema = z.object({
     name: z.string(),
-    /** Memory for layers and KV cache together. */
+    /** Memory shared by layers and KV cache. */
     memory: z.number(),
-    /** Time of a decoding step against the engine's reference. */
+    /** Time of a decoding step, relative to the engine's reference accelerator. */
     stepFactor: z.number(),
-    /** Time of prefill against the engine's reference. */
+    /** Time of prefill, relative to the engine's reference accelerator. */
     prefillFactor: z.number(),
 });
 
@@ -21,59 +22,60 @@
     layers: z.number(),
     /** Memory of one layer's weights. */
     layerMemory: z.number(),
-    /** KV cache of one token over all layers, in bytes. */
+    /** KV cache size of one token across all layers, in bytes. */
     cacheBytesPerToken: z.number(),
     /** Time to load all layers on one target. */
     loadTime: z.number(),
-    /** Loads that may run at once without slowing each other. */
+    /** Loads that can run concurrently without slowing each other down. */
     parallelLoads: z.number(),
-    /** Mean prompt and answer of a request, in tokens. */
+    /** Mean prompt length of a request, in tokens. */
     usualPrompt: z.number(),
+    /** Mean answer length of a request, in tokens. */
     usualAnswer: z.number(),
-    /** Requests that a target takes at once as the first of a chain. */
+    /** Concurrent requests that a target accepts as the first target of a chain. */
     slots: z.number(),
     /** Time of one decoding step through all layers on the reference accelerator. */
     stepTime: z.number(),
     accelerators: z.array(acceleratorSchema),
 });
 
-/** A group of targets that serve the same thing. */
+/** A group of interchangeable targets. An engine is set where a request runs over a chain of them. */
 export const serviceSchema = z.object({
     name: z.string(),
     engine: z.optional(engineSchema),
 });
 
-/** A service and its share of a route's requests. */
+/** A service and its weight among the services of a route. */
 export const routeShareSchema = z.object({ service: z.string(), weight: z.number() });
 
-/** Which requests go to which service, and under which limits. */
+/** Maps requests to services and sets their limits. */
 export const routeSchema = z.object({
     name: z.string(),
     hostname: z.string(),
     pathPrefix: z.string(),
     kind: z.enum(["idempotent", "nonIdempotent", "stream"]),
-    /** The longest time a caller is kept waiting. */
+    /** Maximum time until the caller gets its final answer. */
     timeout: z.number(),
-    /** Within this time a reply earns its full worth; for streams it counts to the first event. */
+    /** Latency up to which a reply keeps its full value; for streams, latency of the first event. */
     latencyTarget: z.number(),
-    /** Targets that one attempt of a caller may be sent to. */
+    /** Maximum number of targets that one request of a caller may be sent to. */
     maxAttempts: z.number(),
     /** 0 is the most urgent. */
     priority: z.number(),
     isPublic: z.boolean(),
-    /** A stream that broke off may go on in another run after the last event that was delivered. */
+    /** Whether an interrupted stream may resume in another run after the last delivered event. */
     isResumable: z.boolean(),
     shares: z.array(routeShareSchema),
 });
 
-/** A customer with the credentials of its callers. */
+/** A customer and the credentials of its callers. */
 export const organisationSchema = z.object({
     name: z.string(),
     keys: z.array(z.string()),
     priority: z.optional(z.number()),
 });
 
-/** What a caller may send, and how long it may take. */
+/** Size limits and timeouts for requests from callers. */
 export const callerLimitsSchema = z.object({
     headerBytes: z.number(),
     bodyBytes: z.number(),
@@ -81,12 +83,12 @@
     idleTimeout: z.number(),
 });
 
-/** One version of everything that the operators declare. */
+/** One version of the whole configuration. */
 export const configurationSchema = z.object({
     version: z.number(),
     routes: z.array(routeSchema),
     services: z.array(serviceSchema),
-    /** Undefined where callers need no credential. */
+    /** Undefined if callers need no credential. */
     organisations: z.optional(z.array(organisationSchema)),
     limits: callerLimitsSchema,
 });
--- a/packages/gateway/src/lib/configuration/ConfigurationInForce.test.ts
+++ b/packages/gateway/src/lib/configuration/ConfigurationInForce.test.ts
@@ -39,7 +39,7 @@
     return { clock, state };
 }
 
-test("a version only grows, whoever brings it", () => {
+test("an older or equal version is rejected", () => {
     const { state } = inForce();
     assert.equal(state.offer(configuration(4)), false);
     assert.equal(state.offer(configuration(5)), false);
@@ -47,7 +47,7 @@
     assert.equal(state.current?.version, 9);
 });
 
-test("the longest prefix wins, whatever the case of the host", () => {
+test("the longest prefix wins, and the host is matched case-insensitively", () => {
     const { state } = inForce();
     assert.equal(state.findRoute("A.example", "/a/b/c")?.name, "long");
     assert.equal(state.findRoute("a.example", "/a/x")?.name, "short");
@@ -55,21 +55,21 @@
     assert.equal(state.findRoute("b.example", "/a/x"), undefined);
 });
 
-test("a key that was taken away is unknown at once", () => {
+test("a revoked key is unknown as soon as the new version is in force", () => {
     const { state } = inForce();
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "accepted");
     state.offer(configuration(6, "k2"));
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "unknown");
 });
 
-test("no key works on a process that the store has not confirmed for too long", () => {
+test("no key is accepted once the last confirmation is older than the maximum age", () => {
     const { clock, state } = inForce(4_600);
     clock.advance(4_601);
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "unconfirmed");
     assert.equal(state.judgeCredential(route("r", "/", true), undefined).kind, "accepted");
 });
 
-test("a late reply does not make the confirmation younger than its question", () => {
+test("the age of a confirmation counts from the sending of its call", () => {
     const { clock, state } = inForce(4_600);
     const asked = currentMoment(clock);
     clock.advance(4_000);
@@ -78,7 +78,7 @@
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "unconfirmed");
 });
 
-test("where a process that is cut off may go on, keys go on to work", () => {
+test("keys stay valid without confirmations if there is no maximum age", () => {
     const clock = new ManualClock();
     const state = new ConfigurationInForce({ clock, maxConfirmationAge: undefined });
     state.offer(configuration(5));
@@ -86,7 +86,7 @@
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "accepted");
 });
 
-test("time that a host was suspended counts, though its monotonic clock stood still", () => {
+test("the age of a confirmation includes time in which the host was suspended and its monotonic clock stopped", () => {
     const manual = new ManualClock();
     let suspended = 0;
     const clock: Clock = {
@@ -103,7 +103,7 @@
     assert.equal(state.judgeCredential(route("r", "/"), "k1").kind, "accepted");
 });
 
-test("a wall clock that is set back makes nothing younger", () => {
+test("setting the wall clock back does not reduce the age of a confirmation", () => {
     const manual = new ManualClock();
     let offset = 0;
     const clock: Clock = {
--- a/packages/gateway/src/lib/configuration/ConfigurationInForce.ts
+++ b/packages/gateway/src/lib/configuration/ConfigurationInForce.ts
@@ -2,7 +2,7 @@
 import { ageOf, type Moment } from "../Moment.js";
 import { type Configuration, type Organisation, type Route, type Service } from "./Configuration.js";
 
-/** How the credential of a request was judged. */
+/** Result of checking the credential of a request. */
 export type CredentialVerdict =
     | { readonly kind: "accepted"; readonly organisation: Organisation | undefined; }
     | { readonly kind: "unknown"; }
@@ -12,15 +12,15 @@
 export interface ConfigurationInForceOptions {
     readonly clock: Clock;
     /**
-     * The oldest confirmation, in milliseconds, under which credentials are still accepted. Undefined where a process
-     * that is cut off from the store may go on accepting them.
+     * Maximum age of the last confirmation, in milliseconds, at which credentials are still accepted. Undefined if a
+     * process that is partitioned from the store may keep accepting them.
      */
     readonly maxConfirmationAge: number | undefined;
 }
 
 /**
  * The newest configuration that this process knows, and when the store last confirmed that there is no newer one. The
- * version only grows, whoever brings it, so a late or repeated read cannot take a change back.
+ * version only increases, whatever its source, so a late or repeated read cannot revert a change.
  *
  * @public
  */
@@ -38,7 +38,7 @@
         return this.configuration;
     }
 
-    /** Milliseconds since the store was last known to hold nothing newer. */
+    /** Milliseconds since the store was last known to hold no newer version. */
     get confirmationAge(): number {
         return this.confirmedAt === undefined ? Infinity : ageOf(this.confirmedAt, this.options.clock);
     }
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Notes that the store held nothing newer at some time after the given one.
+     * Records that the store held no newer version at some time after the given moment.
      *
-     * @param asked - When the call that found this was *sent*: its reply may have been on the way for long.
+     * @param asked - When the confirming call was *sent*, not when its reply came, which may have been delayed.
      */
     confirm(asked: Moment): void {
         if (ageOf(asked, this.options.clock) < this.confirmationAge) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The route with the longest prefix of the path, among those of the host. */
+    /** @returns The route of the host with the longest matching path prefix. */
     findRoute(hostname: string, path: string): Route | undefined {
         return this.routesByHost.get(hostname.toLowerCase())?.find(route => path.startsWith(route.pathPrefix));
     }
@@ -73,7 +73,7 @@
         return this.services.get(name);
     }
 
-    /** Judges the credential of a request to a route. */
+    /** Checks the credential of a request to a route. */
     judgeCredential(route: Route, key: string | undefined): CredentialVerdict {
         if (route.isPublic || this.configuration?.organisations === undefined) {
             return { kind: "accepted", organisation: undefined };
--- a/packages/gateway/src/lib/configuration/createConfigurationWatch.test.ts
+++ b/packages/gateway/src/lib/configuration/createConfigurationWatch.test.ts
@@ -7,8 +7,8 @@
 import { ConfigurationInForce } from "./ConfigurationInForce.js";
 import { createConfigurationWatch } from "./createConfigurationWatch.js";
 
-/** Milliseconds after which a key that was taken away must not work. */
-const keyRevocation = 5_000;
+/** Milliseconds after which a revoked key must be rejected. */
+const revocationTime = 5_000;
 const maxConfirmationAge = 4_600;
 const step = 10;
 const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
@@ -17,7 +17,7 @@
     return { version, routes: [], services: [], organisations: [{ name: "o", keys: [...keys], priority: 0 }], limits };
 }
 
-function createPlay(contactTime = 3_000) {
+function createScenario(contactTime = 3_000) {
     const clock = new ManualClock();
     const table = new WatchedTable(clock);
     const configuration = new ConfigurationInForce({ clock, maxConfirmationAge });
@@ -39,8 +39,8 @@
     return { clock, table, configuration, isAccepted };
 }
 
-test("while nothing changes the confirmation is never older than one wait and its answer", async () => {
-    const { clock, configuration } = createPlay();
+test("without changes the confirmation is never older than one wait and its reply", async () => {
+    const { clock, configuration } = createScenario();
     await clock.advanceAsync(1_000);
     let oldest = 0;
     for (let time = 0; time < 10_000; time += step) {
@@ -51,9 +51,9 @@
 });
 
 for (const contactTime of [3_000, 5_000]) {
-    test(`whenever the store goes away keys work for 1.5 s at least, time in contact ${contactTime}`, async () => {
+    test(`keys stay valid for at least 1.5 s after the store becomes unavailable, contact time ${contactTime}`, async () => {
         for (let outageAt = 5_000; outageAt < 9_000; outageAt += 250) {
-            const { clock, table, isAccepted } = createPlay(contactTime);
+            const { clock, table, isAccepted } = createScenario(contactTime);
             await clock.advanceAsync(outageAt);
             table.setAway(true);
             await clock.advanceAsync(1_500);
@@ -61,9 +61,9 @@
         }
     });
 
-    test(`whenever connections fall silent keys work on, time in contact ${contactTime}`, async () => {
+    test(`keys stay valid when connections go silent, contact time ${contactTime}`, async () => {
         for (let silentAt = 5_000; silentAt < 9_000; silentAt += 250) {
-            const { clock, table, isAccepted } = createPlay(contactTime);
+            const { clock, table, isAccepted } = createScenario(contactTime);
             await clock.advanceAsync(silentAt);
             table.silenceConnections();
             for (let time = 0; time < 8_000; time += 100) {
@@ -73,22 +73,22 @@
         }
     });
 
-    test(`a key taken away right before connections fall silent or the store goes away stops working, time in contact ${contactTime}`, async () => {
+    test(`a key revoked right after connections go silent or the store becomes unavailable is rejected, contact time ${contactTime}`, async () => {
         for (const cut of ["silenceConnections", "setAway"] as const) {
             for (let cutAt = 5_000; cutAt < 9_000; cutAt += 250) {
-                const { clock, table, isAccepted } = createPlay(contactTime);
+                const { clock, table, isAccepted } = createScenario(contactTime);
                 await clock.advanceAsync(cutAt);
                 table[cut](true);
                 table.put("c", withKeys(2, []));
-                await clock.advanceAsync(keyRevocation);
+                await clock.advanceAsync(revocationTime);
                 assert.ok(!isAccepted(), `${cut} at ${cutAt}`);
             }
         }
     });
 
-    test(`a change is in force within the time in contact after connections fell silent, time in contact ${contactTime}`, async () => {
+    test(`a change is in force within the contact time after connections went silent, contact time ${contactTime}`, async () => {
         for (let silentAt = 5_000; silentAt < 9_000; silentAt += 250) {
-            const { clock, table, configuration } = createPlay(contactTime);
+            const { clock, table, configuration } = createScenario(contactTime);
             await clock.advanceAsync(silentAt);
             table.silenceConnections();
             table.put("c", withKeys(2, ["k"]));
--- a/packages/gateway/src/lib/configuration/createConfigurationWatch.ts
+++ b/packages/gateway/src/lib/configuration/createConfigurationWatch.ts
@@ -6,55 +6,61 @@
 import { type Configuration } from "./Configuration.js";
 import { type ConfigurationInForce } from "./ConfigurationInForce.js";
 
-type WatchName = "onLost" | "onRegained" | "onDoubt" | "onRestored" | "role" | "eras";
+type ForwardedOption = "onLost" | "onRegained" | "onDoubt" | "onRestored" | "role" | "eras";
 
 /** Options of {@link createConfigurationWatch}. */
-export interface ConfigurationWatchOptions extends Pick<TableWatchOptions, WatchName> {
+export interface ConfigurationWatchOptions extends Pick<TableWatchOptions, ForwardedOption> {
     readonly clock: Clock;
     readonly store: Store;
     readonly table: string;
     /** The row that holds the configuration. */
     readonly key: string;
-    /** @throws Error when the document is no configuration. */
+    /** @throws Error when the document is not a valid configuration. */
     readonly decode: (document: unknown) => Configuration;
     readonly configuration: ConfigurationInForce;
     readonly logger: Logger;
-    /** Milliseconds without trouble after which this process must know of every change. */
+    /** Maximum milliseconds until this process must know of a change while it is in contact with the store. */
     readonly contactTime: number;
-    /** Milliseconds after the store has taken a configuration in which it must be in force; undefined where nothing says so. */
+    /**
+     * Maximum milliseconds from a write to the store until the configuration is in force; undefined if no limit is set.
+     */
     readonly configurationTime?: number;
-    /** A newer configuration is in force. */
+    /** Called when a newer configuration is in force. */
     readonly onChange: (configuration: Configuration) => void;
 }
 
 /**
- * The longest time in milliseconds that one call waits, whatever the time in contact. Keys work for 4.6 s after the last
- * confirmation. A gateway without peers whose connection falls silent has waited this long, and 0.7 s until it gives the call
- * up, and must still have time for the next call.
+ * Maximum milliseconds that one call waits for changes, whatever `contactTime` is. Keys are accepted for 4.6 s after
+ * the last confirmation. If the connection of a gateway without peers goes silent, this wait and another 0.7 s pass
+ * until the call times out, and there must still be time for the next call.
  */
-const longestWait = 3_000;
-/** Of the same 4.6 s, the most that may pass until a gateway that relies on peers asks the store, and two calls more. */
-const longestReliance = 3_500;
+const maxWait = 3_000;
+/**
+ * Maximum milliseconds, out of the same 4.6 s, until a gateway that relies on peers queries the store itself and has
+ * made two more calls.
+ */
+const maxPropagationTime = 3_500;
 
 /**
- * Follows the configuration. A call that found nothing newer for the whole of its wait confirms the configuration to the end of
- * that wait: so keys work for up to one wait longer when the store goes away, and calls can be fewer. With waits of 1.2 s counted
- * from the sending of a call, 68 gateways made 57 calls a second for the configuration alone.
+ * Creates a watch that follows the configuration in the store. A call that found no change during its whole wait
+ * confirms the configuration up to the end of that wait. Keys therefore stay valid for up to one wait longer when the
+ * store becomes unavailable, and fewer calls are needed: with waits of 1.2 s, counted from the sending of a call, 68
+ * gateways made 57 calls per second for the configuration alone.
  */
 export function createConfigurationWatch(options: ConfigurationWatchOptions): TableWatch {
     const { clock, store, table, configuration, contactTime, configurationTime } = options;
     const { role, eras, onLost, onRegained, onDoubt, onRestored } = options;
-    const promise = Math.min(contactTime, configurationTime ?? 0, longestReliance);
+    const propagationTime = Math.min(contactTime, configurationTime ?? 0, maxPropagationTime);
     return new TableWatch({
         clock,
         store,
         table,
-        wait: Math.min(longestWait, watchWait(contactTime)),
-        reliance: relianceWithin(promise),
+        wait: Math.min(maxWait, watchWait(contactTime)),
+        reliance: relianceWithin(propagationTime),
         role,
         eras,
-        onSnapshot: rows => take(rows, options),
-        onChanges: changes => take(changes.flatMap(({ row }) => row ?? []), options),
+        onSnapshot: rows => applyNewest(rows, options),
+        onChanges: changes => applyNewest(changes.flatMap(({ row }) => row ?? []), options),
         onConfirmed: after => configuration.confirm(after),
         onLost,
         onRegained,
@@ -63,8 +69,8 @@
     });
 }
 
-/** Takes the newest of the rows that hold the configuration: a call may bring several versions of it. */
-function take(rows: readonly StoredRow[], options: ConfigurationWatchOptions): void {
+/** Applies the newest row that holds the configuration; one call may return several versions of it. */
+function applyNewest(rows: readonly StoredRow[], options: ConfigurationWatchOptions): void {
     const { key, decode, configuration, logger, onChange } = options;
     const row = rows.findLast(row => row.key === key);
     if (row === undefined) {
