--- a/packages/gateway/src/lib/services/ServicePicker.test.ts
+++ b/packages/gateway/src/lib/services/ServicePicker.test.ts
@@ -25,11 +25,11 @@
 
 const none: ReadonlySet<string> = new Set();
 
-test("prefers the own data centre", () => {
+test("prefers the gateway's own data centre", () => {
     assert.equal(createPicker().picker.choose(none)?.id, "x");
 });
 
-test("goes round a target that fails, and comes back to it later", () => {
+test("avoids a target that failed, and chooses it again later", () => {
     const { clock, picker, x } = createPicker();
     picker.sent(x);
     picker.ended(x, "failed", 5);
@@ -38,14 +38,14 @@
     assert.equal(picker.choose(none)?.id, "x");
 });
 
-test("goes round a target that does not answer", () => {
+test("avoids a target with unanswered requests in flight", () => {
     const { picker, x } = createPicker();
     picker.sent(x);
     picker.sent(x);
     assert.notEqual(picker.choose(none)?.id, "x");
 });
 
-test("goes round a slow target", () => {
+test("avoids a slow target", () => {
     const { picker, x } = createPicker();
     for (let i = 0; i < 10; i++) {
         picker.sent(x);
@@ -54,7 +54,7 @@
     assert.notEqual(picker.choose(none)?.id, "x");
 });
 
-test("never gives a target that is excluded or leaving", () => {
+test("never chooses a target that is excluded or draining", () => {
     const { directory, picker } = createPicker(["x", "y"]);
     assert.equal(picker.choose(new Set(["x"]))?.id, "y");
     const leaving = directory.get("x");
@@ -63,7 +63,7 @@
     assert.equal(picker.choose(new Set(["y"])), undefined);
 });
 
-test("a failure of an earlier start does not count against the next", () => {
+test("a failure from before a restart does not count against the restarted target", () => {
     const { directory, picker, x } = createPicker();
     const [earlier, later] = [{ ...x, startedAt: 1 }, { ...x, startedAt: 2 }];
     directory.put(earlier);
--- a/packages/gateway/src/lib/services/ServicePicker.ts
+++ b/packages/gateway/src/lib/services/ServicePicker.ts
@@ -2,7 +2,7 @@
 import { incarnationOf, type Target } from "../directory/Target.js";
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
 
-/** How an exchange with a target went, as far as its health is concerned. */
+/** Outcome of an exchange, for judging the health of the target. */
 export type ExchangeVerdict = "served" | "failed" | "refused";
 
 /** Options of {@link ServicePicker}. */
@@ -17,30 +17,30 @@
     inFlight: number;
     /** Mean time to serve, in milliseconds; undefined until something was served. */
     latency: number | undefined;
-    /** Failures of late, each counting less as it gets older. */
+    /** Number of failures as of `failuresAt`, with exponential decay over time. */
     failures: number;
     failuresAt: number;
 }
 
-/** Weight of the newest latency in the mean. */
+/** Weight of the newest sample in the moving average of the latency. */
 const latencyWeight = 0.2;
-/** Milliseconds of latency assumed of a target that has served nothing yet. */
+/** Milliseconds of latency assumed for a target that has not served a request yet. */
 const unknownLatency = 50;
-/** Milliseconds that another data centre counts against a target: a few times the round trip, for the bytes' price. */
+/** Milliseconds added for a target in another data centre: a few round trips, to reflect the cost of the traffic. */
 const remotePenalty = 10;
-/** Milliseconds in which half of a failure is forgotten, so that a target that failed is tried again within seconds. */
+/** Half-life of a failure in milliseconds, short enough that a failed target is tried again within seconds. */
 const failureHalfLife = 2_000;
-/** How many times dearer one fresh failure makes a target. */
+/** Factor by which one recent failure adds to the cost of a target. */
 const failureWeight = 3;
 
-/** Chooses targets of a plain service by what this process's own requests to them met. */
+/** Chooses targets of a service without chains, by the outcomes of this process's own requests to them. */
 export class ServicePicker {
-    /** By incarnation: a late failure of an earlier start does not count against the next. */
+    /** By incarnation, so that a late failure from before a restart does not count against the restarted target. */
     private readonly records = new Map<string, TargetRecord>();
 
     constructor(private readonly options: ServicePickerOptions) {}
 
-    /** @returns The cheapest target that is not excluded, or undefined when there is none. */
+    /** @returns The target with the lowest cost that is not excluded, or undefined when there is none. */
     choose(excluded: ReadonlySet<string>): Target | undefined {
         const targets = this.options.directory.readyTargets(this.options.service).filter(({ id }) => !excluded.has(id));
         let best: Target | undefined;
@@ -55,12 +55,12 @@
         return best;
     }
 
-    /** Notes that a request was sent to a target. */
+    /** Records that a request was sent to a target. */
     sent(target: Target): void {
         this.record(target).inFlight++;
     }
 
-    /** Notes how a request ended, after so many milliseconds. */
+    /** Records the outcome of a request and its latency in milliseconds. */
     ended(target: Target, verdict: ExchangeVerdict, latency: number): void {
         const record = this.record(target);
         record.inFlight--;
--- a/packages/gateway/src/lib/upstream/Exchange.test.ts
+++ b/packages/gateway/src/lib/upstream/Exchange.test.ts
@@ -11,7 +11,7 @@
 
 const blockTime = 30;
 
-/** Blocks this thread, so that whatever the kernel receives meanwhile is seen in one go. */
+/** Blocks this thread, so that everything the kernel receives in this time is read in one pass of the event loop. */
 function block(): void {
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, blockTime);
 }
@@ -57,7 +57,7 @@
 
 const unframed = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\n";
 
-test("a reply without a length that ends with its connection is whole", async () => {
+test("a reply without a length is complete when its connection ends in order", async () => {
     const { body, failure } = await exchangeWith(socket => {
         socket.end(`${unframed}whole`);
         setImmediate(block);
@@ -66,7 +66,7 @@
     assert.equal(failure, undefined);
 });
 
-test("a reply without a length whose connection is reset with the last bytes is not whole", async () => {
+test("a reply without a length is incomplete when a reset arrives with its last bytes", async () => {
     const { failure } = await exchangeWith(socket => {
         socket.write(`${unframed}par`);
         socket.resetAndDestroy();
@@ -75,19 +75,19 @@
     assert.equal(failure?.neverSent, false);
 });
 
-test("a reply that is shorter than its length is not whole", async () => {
+test("a reply shorter than its declared length is incomplete", async () => {
     const { failure } = await exchangeWith(socket => socket.end("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort"));
     assert.equal(failure?.neverSent, false);
 });
 
-test("a chunked reply that breaks off is not whole", async () => {
+test("a chunked reply without its last chunk is incomplete", async () => {
     const { failure } = await exchangeWith(socket =>
         socket.end("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
     );
     assert.equal(failure?.neverSent, false);
 });
 
-test("a port without a listener: never sent", async () => {
+test("a request to a port without a listener was never sent", async () => {
     const server = await listen(() => undefined);
     const { port } = server.address() as AddressInfo;
     server.close();
@@ -96,7 +96,7 @@
     assert.equal(failure?.neverSent, true);
 });
 
-test("closed without a reply: may have been executed", async () => {
+test("a request whose connection closes without a reply may have been executed", async () => {
     const { failure } = await exchangeWith(socket => socket.destroy());
     assert.equal(failure?.neverSent, false);
 });
--- a/packages/gateway/src/lib/upstream/Exchange.ts
+++ b/packages/gateway/src/lib/upstream/Exchange.ts
@@ -1,20 +1,20 @@
 import { type ClientRequest, type IncomingMessage, request } from "node:http";
 import { type Socket } from "node:net";
 
-/** Why an exchange ended without a whole reply. */
+/** Why an exchange ended without a complete reply. */
 export interface ExchangeFailure {
-    /** True when no byte of the request can have reached the target, so it cannot run there. */
+    /** True if no byte of the request can have reached the target, so it cannot be executed there. */
     readonly neverSent: boolean;
     readonly reason: string;
 }
 
-/** The part of a reply that comes before its body. */
+/** Status and headers of a reply. */
 export type ReplyMessage = Pick<IncomingMessage, "statusCode" | "headers" | "rawHeaders">;
 
-/** An exchange as those that started it see it. */
+/** Operations of an exchange available to the code that opened it. */
 export type OpenExchange = Pick<Exchange, "pause" | "resume" | "cancel" | "neverSent">;
 
-/** What an exchange tells of its reply, in this order. `onFailure` or `onEnd` comes last, and only one of them. */
+/** Receives the reply of an exchange, in this order. The last call is either `onEnd` or `onFailure`. */
 export interface ExchangeListener {
     onHead(response: ReplyMessage): void;
     onData(chunk: Buffer): void;
@@ -28,18 +28,18 @@
     readonly port: number;
     readonly method: string;
     readonly path: string;
-    /** Name and value by turns. */
+    /** Alternating names and values. */
     readonly headers: string[];
     readonly body: Buffer | undefined;
-    /** Milliseconds for the connection to open. */
+    /** Maximum milliseconds until the connection is established. */
     readonly connectTimeout: number;
     readonly listener: ExchangeListener;
 }
 
 /**
- * One request to a target and its reply, on a connection of its own. A connection that is never used again cannot carry
- * a late second reply or a half-read body over to another request, and cannot have gone silent while it was idle. An
- * opened connection costs about 0.2% of the worth of a request on it, and 1 ms.
+ * One request to a target and its reply, on a connection of its own. A connection that is never reused cannot carry a
+ * late second reply or a partly read body over to another request, and cannot have died unnoticed while it was idle.
+ * Opening a connection takes 1 ms and costs about 0.2% of the value of a request.
  */
 export class Exchange {
     private readonly call: ClientRequest;
@@ -52,10 +52,10 @@
     constructor(private readonly options: ExchangeOptions) {
         const { host, port, method, path, headers, body, connectTimeout } = options;
         this.call = request({ host, port, method, path, headers, agent: false });
-        this.connectTimer = setTimeout(() => this.endUnconnected(), connectTimeout);
+        this.connectTimer = setTimeout(() => this.failIfUnconnected(), connectTimeout);
         this.call.once("socket", socket => {
             socket.setNoDelay(true);
-            socket.prependOnceListener("end", () => this.noteReset(socket));
+            socket.prependOnceListener("end", () => this.detectReset(socket));
             socket.once("connect", () => {
                 this.isConnected = true;
                 clearTimeout(this.connectTimer);
@@ -66,7 +66,7 @@
         this.call.end(body);
     }
 
-    /** Stops reading, until {@link Exchange.resume}, because the caller does not keep up. */
+    /** Stops reading until {@link Exchange.resume} is called, to apply back-pressure from a slow caller. */
     pause(): void {
         this.response?.pause();
     }
@@ -75,22 +75,22 @@
         this.response?.resume();
     }
 
-    /** Ends the exchange without a further word to its listener. The target sees its connection close. */
+    /** Ends the exchange without calling its listener again. The target sees the connection close. */
     cancel(): void {
         this.close();
     }
 
-    /** True while nothing can have reached the target. */
+    /** True while no byte can have reached the target. */
     get neverSent(): boolean {
         return !this.isConnected;
     }
 
     /**
-     * Tells a reset from an orderly end. When the last bytes and a reset arrive together, Node reports a plain end, and
-     * a reply without a length, which ends with its connection, looks whole. Only a connection that was reset has no
-     * peer any more at this moment.
+     * Distinguishes a reset from an orderly end. If the last bytes and a reset arrive together, Node.js reports an
+     * ordinary end, and a reply without a length, which is delimited by the end of its connection, looks complete. Only
+     * a connection that was reset has no remote address at this moment.
      */
-    private noteReset(socket: Socket): void {
+    private detectReset(socket: Socket): void {
         this.wasReset = socket.remoteAddress === undefined;
     }
 
@@ -119,8 +119,11 @@
         });
     }
 
-    /** Timers run before input is read: a connection that opened while this process stood still is noticed first. */
-    private endUnconnected(): void {
+    /**
+     * Checks the connection again after pending I/O: Node.js runs timers first, and the connection may have opened
+     * while the event loop was blocked.
+     */
+    private failIfUnconnected(): void {
         setImmediate(() => {
             if (!this.isConnected) {
                 this.fail("connect timeout");
--- a/packages/gateway/src/lib/upstream/refusesConnections.ts
+++ b/packages/gateway/src/lib/upstream/refusesConnections.ts
@@ -1,12 +1,15 @@
 import { connect } from "node:net";
 import { type Target } from "../directory/Target.js";
 
-/** Milliseconds for a connection to open or be refused: round trips take 1 to 2 ms, a lost packet comes again after 200. */
+/**
+ * Milliseconds until a connection must be established or refused: a round trip takes 1 to 2 ms, and a lost packet is
+ * retransmitted after 200 ms.
+ */
 const probeTimeout = 450;
 
 /**
- * Whether no process listens at a target's address. A host that is cut off or without power gives no answer, which says
- * nothing of the process.
+ * Resolves to true if no process listens at a target's address. An unreachable or powered-off host does not answer,
+ * which gives no information about the process and resolves to false.
  */
 export function refusesConnections({ host, port }: Pick<Target, "host" | "port">): Promise<boolean> {
     return new Promise(resolve => {
