--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Pure decision modules: routing, admission, fair shares, retries, ejection.
+ * Decision logic without I/O: routing, admission, fair scheduling, retry budgets and outlier ejection.
  *
  * @packageDocumentation
  */
--- a/packages/policy/src/lib/admission/ConcurrencyLimit.ts
+++ b/packages/policy/src/lib/admission/ConcurrencyLimit.ts
@@ -1,17 +1,20 @@
 const observationsPerWindow = 128;
 /**
- * The share of late intervals above which the target's own batch is taken as the cause. A batch that is too large makes
- * nearly all its streams late; a slow stage elsewhere only those that pass through it.
+ * The share of late intervals above which the target's own batch counts as the cause. An oversized batch delays nearly
+ * all of its streams; a slow stage on another target delays only the streams that pass through it.
  */
-const tolerated = 0.3;
-/** A target that fills less of its limit than this does not owe its late intervals to its batch. */
-const nearLimit = 0.8;
+const maxLateShare = 0.3;
+/** The limit is lowered only if at least this share of it is in use; below that the batch is not the cause. */
+const minUtilisation = 0.8;
+/** The factor by which the limit is lowered. */
 const decrease = 0.9;
+/** The step by which the limit is raised, as a share of the slots. */
 const increase = 0.05;
 
 /**
- * The number of items that may run at once so that the time between tokens stays within its bound: additive increase
- * while most intervals keep it, multiplicative decrease while many miss it and the batch is nearly full.
+ * Limits the number of concurrent items so that the time between tokens stays within its bound. The limit rises
+ * additively while most intervals are within the bound, and falls multiplicatively when many exceed it and the batch is
+ * nearly full.
  *
  * @internal
  */
@@ -29,10 +32,10 @@
     }
 
     /**
-     * Counts one interval between tokens.
+     * Records one interval between tokens.
      *
      * @param interval - Milliseconds between two tokens of a stream.
-     * @param running - Items that run now.
+     * @param running - The number of items that are running.
      */
     observe(interval: number, running: number): void {
         this.seen++;
@@ -48,12 +51,12 @@
         const lateShare = this.late / this.seen;
         this.seen = 0;
         this.late = 0;
-        if (lateShare <= tolerated) {
+        if (lateShare <= maxLateShare) {
             this.current = Math.min(this.slots, this.current + Math.max(1, this.slots * increase));
             return;
         }
-        // Streams that already run keep their slots, so an earlier decrease must take effect before the next one.
-        if (running <= this.current && running >= this.current * nearLimit) {
+        // Running streams keep their slots, so a decrease must have taken effect before the next one is made.
+        if (running <= this.current && running >= this.current * minUtilisation) {
             this.current = Math.max(1, Math.floor(Math.min(this.current, running) * decrease));
         }
     }
--- a/packages/policy/src/lib/admission/FairScheduler.ts
+++ b/packages/policy/src/lib/admission/FairScheduler.ts
@@ -3,34 +3,34 @@
 import { type WorkItem } from "./WorkQueue.js";
 
 /**
- * An item that waits.
+ * A queued item.
  *
  * @internal
  */
 export interface WaitingItem {
     readonly item: WorkItem;
     readonly account: OrganisationAccount;
-    /** When it must leave the queue because it could no longer keep its bound. */
+    /** Clock time in milliseconds after which the item can no longer meet its bound and is refused. */
     readonly expires: number;
-    /** True when it is the caller's deadline, not the bound on the first token, that makes it leave. */
+    /** True when `expires` is the caller's deadline, not the latest start that meets the first-token bound. */
     readonly endsAtDeadline: boolean;
 }
 
-/** The items of one organisation at one priority, the earliest to expire first. */
+/** The queued items of one organisation at one priority, ordered by expiry. */
 interface Flow {
     readonly key: string;
     readonly account: OrganisationAccount;
-    /** The virtual time at which the flow's next item starts. */
+    /** The virtual start time of the flow's next item. */
     tag: number;
-    /** Its weight as counted in the level's sum, since the organisation's weight may change while it waits. */
+    /** The weight added to the level's sum; the organisation's weight may change while the flow is backlogged. */
     countedWeight: number;
     readonly items: IndexedHeap<WaitingItem>;
 }
 
-/** One priority: its flows are served by start-time fair queueing. */
+/** The flows of one priority, served by start-time fair queueing. */
 class Level {
     readonly flows = new Map<string, Flow>();
-    /** Flows with waiting items, the lowest tag first. */
+    /** Flows with queued items, ordered by tag. */
     readonly backlogged = new IndexedHeap<Flow>();
     backloggedWeight = 0;
     queued = 0;
@@ -65,15 +65,15 @@
         }
     }
 
-    /** An item of the flow starts: virtual time moves to the start of its service, the flow's tag to its end. */
+    /** Advances virtual time to the start of an item's service, and the flow's tag to the end of that service. */
     start(flow: Flow, service: number): void {
-        // A flow with waiting items keeps what a correction gave back; an idle one starts from the present.
+        // A backlogged flow keeps the credit of earlier corrections; an idle flow starts at the current virtual time.
         const begin = flow.items.size > 0 ? flow.tag : Math.max(flow.tag, this.virtualTime);
         this.virtualTime = Math.max(this.virtualTime, begin);
         this.moveTag(flow, begin + service / flow.account.weight);
     }
 
-    /** Service turned out longer or shorter than what was charged at its start. */
+    /** Adjusts the flow's tag by the difference between the actual service time and the one charged at the start. */
     correct(flow: Flow, difference: number): void {
         this.moveTag(flow, flow.tag + difference / flow.account.weight);
     }
@@ -87,13 +87,13 @@
 }
 
 /**
- * The order of service: strictly by priority, then by weighted start-time fair queueing over organisations, then by
- * expiry. Adding, removing and taking cost O(log n).
+ * Orders queued items strictly by priority, then by weighted start-time fair queueing over organisations, then by
+ * expiry. Adding, removing and taking an item cost O(log n).
  *
  * @internal
  */
 export class FairScheduler {
-    /** By priority, the highest first. */
+    /** Ordered by priority, highest first. */
     private levels: { readonly priority: number; readonly level: Level; }[] = [];
     private total = 0;
 
@@ -113,10 +113,10 @@
         this.total--;
     }
 
-    /** The next item whose organisation may start one now, without taking it. */
+    /** Returns the next item whose organisation may start one now, without removing it. */
     next(mayStart: (account: OrganisationAccount) => boolean): WaitingItem | undefined {
         for (const { level } of this.levels) {
-            const found = this.nextOf(level, mayStart);
+            const found = this.findNext(level, mayStart);
             if (found !== undefined) {
                 return found;
             }
@@ -124,20 +124,20 @@
         return undefined;
     }
 
-    /** Charges an organisation for an item that starts, with the service that it is expected to take. */
+    /** Charges an organisation for an item that starts, by its expected service time. */
     start(account: OrganisationAccount, priority: number, service: number): void {
         const level = this.level(priority);
         level.start(level.flow(account), service);
     }
 
-    /** Corrects a charge by what the item took beyond it. */
+    /** Corrects a charge by the difference between the actual and the expected service time. */
     correct(account: OrganisationAccount, priority: number, difference: number): void {
         const level = this.level(priority);
         level.correct(level.flow(account), difference);
     }
 
-    /** How many items are served before a new one of this organisation and priority, itself included. */
-    placeOf(account: OrganisationAccount, priority: number): number {
+    /** Estimates the queue position of a new item of this organisation and priority; 1 means that it is served next. */
+    queuePosition(account: OrganisationAccount, priority: number): number {
         let ahead = 0;
         for (const entry of this.levels) {
             if (entry.priority <= priority) {
@@ -153,10 +153,10 @@
     }
 
     /**
-     * Finds the item to give up for a new one when the queue is full: of the lowest priority, from the organisation
-     * with the longest queue for its weight. Undefined when that would be the new item itself.
+     * Finds the item to evict from a full queue for a new one: at the lowest priority, from the organisation with the
+     * longest queue relative to its weight. Returns undefined when the new item itself is the one to refuse.
      */
-    displacedBy(account: OrganisationAccount, priority: number): WaitingItem | undefined {
+    findItemToDisplace(account: OrganisationAccount, priority: number): WaitingItem | undefined {
         const lowest = this.levels.findLast(entry => entry.level.queued > 0);
         if (lowest === undefined || lowest.priority > priority) {
             return undefined;
@@ -167,10 +167,10 @@
         if (longest === undefined || (sameLevel && backlog(longest) <= (own.items.size + 1) / account.weight)) {
             return undefined;
         }
-        return longest.items.peekLate();
+        return longest.items.peekLeaf();
     }
 
-    private nextOf(level: Level, mayStart: (account: OrganisationAccount) => boolean): WaitingItem | undefined {
+    private findNext(level: Level, mayStart: (account: OrganisationAccount) => boolean): WaitingItem | undefined {
         const passedOver: Flow[] = [];
         let found: WaitingItem | undefined;
         for (let flow = level.backlogged.peek(); flow !== undefined; flow = level.backlogged.peek()) {
--- a/packages/policy/src/lib/admission/FirstTokenModel.ts
+++ b/packages/policy/src/lib/admission/FirstTokenModel.ts
@@ -1,34 +1,34 @@
 import { type CompleteWorkQueueOptions } from "./WorkQueueOptions.js";
 
-/** Milliseconds after which half of what was learned beyond the long-run figures is forgotten without an observation. */
+/** Half-life, in milliseconds without observations, of the recent weights' difference from the long-run weights. */
 const forgetHalfLife = 1000;
-/** Milliseconds without an observation after which one item may start against the prediction, to see whether it holds. */
+/** Milliseconds without observations after which one item may start against the prediction, as a probe of it. */
 const trialInterval = 500;
-/** How many times slower the long-run figures learn. */
-const longRun = 10;
-/** The first guess of how much of the work ahead is still to be done when an item starts. */
+/** How many times as many observations the long-run weights average over as the recent ones. */
+const longRunFactor = 10;
+/** Initial estimate of the share of the pending work that is still to be done when an item starts. */
 const initialAheadShare = 0.5;
 
-/** An item whose first token is still to come. */
+/** An item that has started and has not produced its first token. */
 interface PendingItem {
-    /** Its own work, in tokens. */
+    /** The item's own work, in tokens. */
     readonly own: number;
     /** Work of the items that were pending when it started, in tokens. */
     readonly ahead: number;
 }
 
-/** Milliseconds that a token of an item's own work, and one of the work ahead of it, add to its first token. */
+/** Milliseconds that each token of an item's own work, and of the work ahead, adds to the time to its first token. */
 class Weights {
     private learned = 0;
 
-    /** @param memory - How many observations they look back on once there are as many; before that all count alike. */
+    /** @param memory - Observations averaged over; until there are as many, all count equally. */
     constructor(private own: number, private ahead: number, private readonly memory: number) {}
 
     predict({ own, ahead }: PendingItem): number {
         return this.own * own + this.ahead * ahead;
     }
 
-    /** Corrects both by a normalised gradient step. */
+    /** Adjusts both weights by a normalised gradient step. */
     learn(item: PendingItem, duration: number): void {
         this.learned++;
         const rate = 1 / Math.min(this.learned, this.memory);
@@ -36,8 +36,8 @@
         this.own = Math.max(0, this.own + step * item.own);
         this.ahead = Math.max(0, this.ahead + step * item.ahead);
         if (item.ahead === 0) {
-            // An item that found nothing ahead tells nothing of that weight. Too high a weight would let in only such
-            // items and never be put right, so it returns to its usual share of the other one.
+            // An item with no work ahead gives no evidence about that weight. If the weight were too high, only such
+            // items would be admitted and it would never be corrected, so it decays to its initial share of the other.
             this.ahead += rate * (this.own * initialAheadShare - this.ahead);
         }
         this.ahead = Math.min(this.ahead, this.own);
@@ -45,8 +45,8 @@
 }
 
 /**
- * Predicts the time from start to first token from an item's own prefill and that of the items still pending. Two
- * weights are learned, since what is ahead may be half done, or be done at the same time on another stage.
+ * Predicts the time from start to first token from an item's own prefill and that of the items still pending. The two
+ * have separate weights, since the work ahead may be partly done or may run concurrently on another stage.
  *
  * @internal
  */
@@ -55,23 +55,23 @@
     private readonly usual: Weights;
     private deviation = 0;
     private observedAt: number;
-    /** Items whose first token is still to come, oldest first. */
+    /** Items that have started and have not produced their first token, oldest first. */
     private readonly pending = new Map<string, PendingItem>();
     private pendingWork = 0;
 
     constructor(private readonly options: CompleteWorkQueueOptions) {
         const { initialTokenCost, memory } = options;
         this.recent = new Weights(initialTokenCost, initialTokenCost * initialAheadShare, memory);
-        this.usual = new Weights(initialTokenCost, initialTokenCost * initialAheadShare, memory * longRun);
+        this.usual = new Weights(initialTokenCost, initialTokenCost * initialAheadShare, memory * longRunFactor);
         this.observedAt = options.clock.now();
     }
 
-    /** The predicted time to the first token of an item that starts now, in milliseconds. */
+    /** Predicts the time to the first token of an item that starts now, in milliseconds. */
     predict(cost: number): number {
-        return this.mean(this.itemOf(cost)) + this.options.caution * this.deviation * this.kept();
+        return this.mean(this.itemOf(cost)) + this.options.caution * this.deviation * this.recency();
     }
 
-    /** True when nothing is under way that would correct a wrong prediction, and nothing was for a while. */
+    /** True when no item is pending that could correct a wrong prediction, and none was observed recently. */
     needsTrial(): boolean {
         return this.pending.size === 0 && this.options.clock.now() - this.observedAt >= trialInterval;
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Learns from a first token. Prefills end nearly in the order of their starts, so it is taken as the oldest one's. */
+    /** Learns from a first token, attributed to the oldest pending item: prefills end nearly in starting order. */
     observe(duration: number): void {
         const oldest = this.pending.entries().next().value;
         if (oldest === undefined) {
@@ -100,7 +100,7 @@
         this.finished(id);
         const { memory } = this.options;
         const error = Math.abs(duration - this.mean(item));
-        const deviation = this.deviation * this.kept();
+        const deviation = this.deviation * this.recency();
         this.deviation = deviation + (error - deviation) / memory;
         this.recent.learn(item, duration);
         this.usual.learn(item, duration);
@@ -111,13 +111,17 @@
         return { own: cost + this.options.overheadTokens, ahead: this.pendingWork };
     }
 
-    /** Forgets a bad spell while nothing is observed; otherwise a target that refuses everything would never learn. */
+    /**
+     * The recent prediction decays to the long-run one while there are no observations. Otherwise a target that refuses
+     * every item after a slow period would never correct its prediction.
+     */
     private mean(item: PendingItem): number {
         const usual = this.usual.predict(item);
-        return usual + (this.recent.predict(item) - usual) * this.kept();
+        return usual + (this.recent.predict(item) - usual) * this.recency();
     }
 
-    private kept(): number {
+    /** The weight of the recent figures: 1 just after an observation, falling to 0 with age. */
+    private recency(): number {
         const age = this.options.clock.now() - this.observedAt;
         return 2 ** -(age / forgetHalfLife);
     }
--- a/packages/policy/src/lib/admission/OrganisationAccounts.ts
+++ b/packages/policy/src/lib/admission/OrganisationAccounts.ts
@@ -3,11 +3,11 @@
 import { TokenBucket } from "./TokenBucket.js";
 import { type CompleteWorkQueueOptions } from "./WorkQueueOptions.js";
 
-/** Milliseconds after which an organisation at its limit of items in progress should come back. */
+/** Milliseconds after which an organisation at its limit of concurrent items should retry. */
 const inFlightRetryAfter = 500;
 
 /**
- * What the queue keeps of one organisation.
+ * The queue's state of one organisation.
  *
  * @internal
  */
@@ -16,20 +16,20 @@
     weight: number;
     running: number;
     queued: number;
-    /** The mean time that its items hold a slot, in milliseconds; undefined before the first one ended. */
-    hold?: number;
+    /** Mean time that its items hold a slot, in milliseconds; undefined until the first one has ended. */
+    meanHold?: number;
     rateLimit?: TokenBucket;
     maxInFlight?: number;
 }
 
 /**
- * Weights, limits and counts of the organisations that use a target.
+ * Tracks weights, limits and item counts of the organisations that use a target.
  *
  * @internal
  */
 export class OrganisationAccounts {
     private readonly accounts = new Map<string, OrganisationAccount>();
-    /** When each active organisation was last seen, the longest ago first. */
+    /** Clock time of the last item of each active organisation, least recent first. */
     private readonly lastSeen = new Map<OrganisationAccount, number>();
     private activeWeight = 0;
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Marks an organisation as active from now on. */
+    /** Records activity of an organisation, and expires the organisations that are no longer active. */
     touch(account: OrganisationAccount): void {
         const now = this.options.clock.now();
         if (!this.lastSeen.delete(account)) {
@@ -66,7 +66,7 @@
         this.forgetIdle(now);
     }
 
-    /** Checks the organisation's own limits, and counts the request against its rate. */
+    /** Checks an item against the organisation's limits, and takes a token from its rate limit if it is admitted. */
     admit(account: OrganisationAccount): Outcome<void> {
         const inFlight = account.running + account.queued;
         if (account.maxInFlight !== undefined && inFlight >= account.maxInFlight) {
@@ -81,10 +81,10 @@
     }
 
     /**
-     * True when the organisation runs more than its weighted part of the slots, counted over active organisations, by
-     * more than chance: arrivals at random put even equal organisations above their part now and then.
+     * True when the organisation runs more items than its weighted share of the slots among active organisations, plus
+     * a tolerance for chance: with random arrivals even equal organisations exceed their shares at times.
      */
-    overShare(account: OrganisationAccount, slots: number): boolean {
+    isOverShare(account: OrganisationAccount, slots: number): boolean {
         const share = account.weight / this.activeWeight * slots;
         const tolerated = share + this.options.shareTolerance * Math.sqrt(share);
         return this.lastSeen.size > 1 && account.running >= tolerated;
--- a/packages/policy/src/lib/admission/OrganisationLimits.ts
+++ b/packages/policy/src/lib/admission/OrganisationLimits.ts
@@ -1,19 +1,19 @@
 import { type Outcome } from "@waxwingspar/utils";
 
 /**
- * Which of the live entries this one is, of how many.
+ * The position of this entry among the live entries.
  *
  * @public
  */
 export interface EntryPart {
-    /** The place of this entry in the order that all entries share, from 0 to below `count`. */
+    /** The index of this entry in an order that all entries agree on, from 0 to `count` - 1. */
     readonly index: number;
-    /** Live entries, at least 1. */
+    /** The number of live entries, at least 1. */
     readonly count: number;
 }
 
 /**
- * The limits of an organisation over all entries together; what is absent is not limited.
+ * The limits of an organisation over all entries together. An absent value means no limit.
  *
  * @public
  */
@@ -23,17 +23,17 @@
 }
 
 /**
- * Holds this entry's part of the limits of organisations.
+ * Enforces this entry's share of the limits of organisations.
  *
  * @public
  */
 export interface OrganisationLimits {
     /**
-     * Counts a request in, or refuses it before any work.
+     * Admits and counts a request, or refuses it before any work.
      *
-     * @param spec - The limits as they are now; a change takes effect with the next request.
-     * @returns What to call once the request has ended in any way (further calls do nothing), or `limitReached` with the
-     * milliseconds until this entry may take another.
+     * @param spec - The current limits; a change takes effect with the next request.
+     * @returns A function to call once the request has ended, whatever its outcome (further calls have no effect), or
+     * `limitReached` with the milliseconds until this entry may admit another.
      */
     admit(organisation: string, spec: LimitSpec): Outcome<() => void>;
 }
--- a/packages/policy/src/lib/admission/TokenBucket.ts
+++ b/packages/policy/src/lib/admission/TokenBucket.ts
@@ -3,7 +3,7 @@
 const millisecondsPerSecond = 1000;
 
 /**
- * A rate limit with a burst.
+ * A token bucket: a rate limit that allows bursts.
  *
  * @internal
  */
@@ -13,14 +13,14 @@
 
     /**
      * @param rate - Tokens per second.
-     * @param burst - The most tokens that can be saved up, at least 1.
+     * @param burst - The capacity of the bucket in tokens, at least 1.
      */
     constructor(private readonly clock: Clock, public rate: number, private burst: number) {
         this.tokens = burst;
         this.refilledAt = clock.now();
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token. Returns false when none is available. */
     take(): boolean {
         this.refill();
         if (this.tokens < 1) {
@@ -30,19 +30,19 @@
         return true;
     }
 
-    /** Milliseconds until a token is there. */
+    /** Milliseconds until the next token is available. */
     wait(): number {
         this.refill();
         return Math.max(0, 1 - this.tokens) / this.rate * millisecondsPerSecond;
     }
 
-    /** True while nothing more can be saved up. */
-    get full(): boolean {
+    /** True while the bucket is filled to capacity. */
+    get isFull(): boolean {
         this.refill();
         return this.tokens >= this.burst;
     }
 
-    /** Goes on at another rate. What was saved up stays, as far as the new burst holds it. */
+    /** Changes rate and capacity. Saved tokens are kept up to the new capacity. */
     change(rate: number, burst: number): void {
         this.refill();
         this.rate = rate;
--- a/packages/policy/src/lib/admission/WorkQueue.interleavings.test.ts
+++ b/packages/policy/src/lib/admission/WorkQueue.interleavings.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { createWorkQueue } from "./createWorkQueue.js";
 
-type Fate = "offered" | "started" | "refused" | "cancelled" | "finished";
+type ItemState = "offered" | "started" | "refused" | "cancelled" | "finished";
 
 const command = fc.oneof(
     fc.record({
@@ -25,26 +25,27 @@
     }),
 );
 
-test("every item has one fate, whatever happens in between", () => {
+test("every item ends exactly once under any interleaving of operations", () => {
     fc.assert(
         fc.property(fc.array(command, { maxLength: 120 }), commands => {
             const clock = new ManualClock();
             const queue = createWorkQueue({ clock, slots: 3, capacity: 5, initialHold: 200 });
-            const fates = new Map<string, Fate>();
-            const move = (id: string, from: Fate, to: Fate) => {
-                assert.equal(fates.get(id), from, `${id} cannot become ${to}`);
-                fates.set(id, to);
+            const itemStates = new Map<string, ItemState>();
+            const move = (id: string, from: ItemState, to: ItemState) => {
+                assert.equal(itemStates.get(id), from, `${id} cannot become ${to}`);
+                itemStates.set(id, to);
             };
-            const inFate = (fate: Fate) => [...fates].filter(([, current]) => current === fate).map(([id]) => id);
+            const itemsIn = (itemState: ItemState) =>
+                [...itemStates].filter(([, current]) => current === itemState).map(([id]) => id);
             let count = 0;
             for (const step of commands) {
                 const id = "pick" in step
-                    ? pickFrom(inFate(step.kind === "cancel" ? "offered" : "started"), step.pick)
+                    ? pickFrom(itemsIn(step.kind === "cancel" ? "offered" : "started"), step.pick)
                     : "";
                 switch (step.kind) {
                     case "offer": {
                         const offered = String(count++);
-                        fates.set(offered, "offered");
+                        itemStates.set(offered, "offered");
                         const outcome = queue.offer({
                             ...step,
                             id: offered,
@@ -80,12 +81,12 @@
                         queue.setShare(String(step.pick), step.share);
                         break;
                 }
-                assert.equal(queue.running, inFate("started").length);
-                assert.equal(queue.queued, inFate("offered").length);
+                assert.equal(queue.running, itemsIn("started").length);
+                assert.equal(queue.queued, itemsIn("offered").length);
                 assert.ok(queue.running <= 3 && queue.queued <= 5);
             }
             clock.advance(10_000);
-            assert.equal(queue.queued, 0, "nothing waits for ever");
+            assert.equal(queue.queued, 0, "no item stays queued after its bound");
         }),
         { numRuns: 300 },
     );
--- a/packages/policy/src/lib/admission/WorkQueue.ts
+++ b/packages/policy/src/lib/admission/WorkQueue.ts
@@ -1,29 +1,30 @@
 import { type Failure, type Outcome } from "@waxwingspar/utils";
 
 /**
- * One piece of work that asks an agent for a slot.
+ * One piece of work that requests a slot of an agent.
  *
  * @public
  */
 export interface WorkItem {
     readonly id: string;
     readonly organisation: string;
-    /** Higher goes first. */
+    /** Items of higher priority are served first. */
     readonly priority: number;
     /** Milliseconds left until the caller's deadline. */
     readonly timeLeft: number;
-    /** Milliseconds left until the bound on the first token, or on the answer for plain calls. */
+    /** Milliseconds left until the bound on the first token, or on the response to a plain call. */
     readonly startBound: number;
-    /** Estimated cost, in tokens to prefill. */
+    /** Estimated prefill cost, in tokens. */
     readonly cost: number;
-    /** Runs when the item gets its slot. The owner then calls {@link WorkQueue.finish}. */
+    /** Called when the item gets its slot. The owner then calls {@link WorkQueue.finish} when the work ends. */
     readonly start: () => void;
-    /** Runs when the item is refused after it had been queued; it did not run. */
+    /** Called when the item is refused after it was queued. It has not run. */
     readonly refuse: (failure: Failure) => void;
 }
 
 /**
- * The bounded queue of an agent: it admits against the bounds, and shares slots among organisations by weight.
+ * The bounded queue of an agent. It admits items that can meet their bounds, and divides the slots among organisations
+ * by weight.
  *
  * @public
  */
@@ -31,24 +32,24 @@
     readonly running: number;
     readonly queued: number;
     /**
-     * Offers an item. It starts at once, waits, or is refused before any work: `overloaded`, `limitReached`,
-     * `deadlinePassed` or `stopping`.
+     * Offers an item, which starts immediately, is queued, or is refused before any work with `overloaded`,
+     * `limitReached`, `deadlinePassed` or `stopping`.
      */
     offer(item: WorkItem): Outcome<"started" | "queued">;
     /**
      * Frees the slot of a started item.
      *
-     * @param duration - Milliseconds for which it held the slot.
+     * @param duration - Milliseconds for which the item held the slot.
      */
     finish(id: string, duration: number): void;
-    /** Takes an item that still waits out of the queue. Returns false when it is not waiting. */
+    /** Removes a queued item. Returns false when the item is not queued. */
     cancel(id: string): boolean;
-    /** Records how long a first token took after its start, and the time between later tokens, in milliseconds. */
+    /** Records the time from an item's start to its first token, or between two later tokens, in milliseconds. */
     observe(firstToken: number | undefined, interval: number | undefined): void;
-    /** The predicted time to the first token of an item that arrives now, in milliseconds. */
+    /** Predicts the time to the first token of an item that arrives now, in milliseconds. */
     estimate(): number;
-    /** Sets weight and limits of an organisation, this target's part of them. */
+    /** Sets the weight of an organisation, and this target's share of its limits. */
     setShare(organisation: string, share: number, requestsPerSecond?: number, maxInFlight?: number): void;
-    /** Refuses everything from now on, and what waits, as not run. */
+    /** Refuses all queued and future items with `stopping`. None of them has run. */
     close(): void;
 }
--- a/packages/policy/src/lib/admission/WorkQueueOptions.ts
+++ b/packages/policy/src/lib/admission/WorkQueueOptions.ts
@@ -1,37 +1,43 @@
 import { type Clock } from "@waxwingspar/utils";
 
 /**
- * Options of {@link createWorkQueue}. docs/design/admission.md has the sweeps behind the defaults.
+ * Options of {@link createWorkQueue}. The parameter sweeps behind the defaults are in docs/design/admission.md.
  *
  * @public
  */
 export interface WorkQueueOptions {
     readonly clock: Clock;
-    /** Items that may run at once. */
+    /** The maximum number of concurrently running items. */
     readonly slots: number;
-    /** Items that may wait. Default 256. */
+    /** The maximum number of queued items. Default 256. */
     readonly capacity?: number;
-    /** The bound between two tokens, in milliseconds; the number of running items shrinks to keep it. Default 72. */
+    /** The bound on the time between tokens, in milliseconds; concurrency is reduced to meet it. Default 72. */
     readonly tokenBound?: number;
-    /** The share of slots that only organisations below their fair share may take. Default 0.05. */
+    /** The share of the slots reserved for organisations below their fair share. Default 0.05. */
     readonly reserve?: number;
-    /** The share of the bound on the first token that organisations at or above their fair share must leave. Default 0.4. */
+    /**
+     * The share by which the first-token bound is tightened for organisations at or above their fair share.
+     * Default 0.4.
+     */
     readonly headroom?: number;
-    /** How many standard deviations of random arrivals above its share an organisation may be unrestricted. Default 0.8. */
+    /**
+     * How far an organisation may exceed its fair share before it is restricted, in standard deviations of random
+     * arrivals. Default 0.8.
+     */
     readonly shareTolerance?: number;
     /** Milliseconds for which an organisation counts as active after its last item. Default 5000. */
     readonly activeWindow?: number;
-    /** How many mean deviations the predicted first token is raised by. Default 0.5. */
+    /** The safety margin added to the predicted time to first token, in mean deviations. Default 0.5. */
     readonly caution?: number;
-    /** The first guess of the time that an item holds its slot, in milliseconds. Default 5000. */
+    /** Initial estimate of the time that an item holds its slot, in milliseconds. Default 5000. */
     readonly initialHold?: number;
-    /** The first guess of the time to prefill one token, in milliseconds. Default 0.1. */
+    /** Initial estimate of the time to prefill one token, in milliseconds. Default 0.1. */
     readonly initialTokenCost?: number;
-    /** Work of every item besides its prefill, in tokens. Default 64. */
+    /** Fixed work of every item in addition to its prefill, in tokens. Default 64. */
     readonly overheadTokens?: number;
-    /** How many observations the learned figures look back on. Default 20. */
+    /** The number of observations that the learned estimates average over. Default 20. */
     readonly memory?: number;
-    /** Seconds' worth of requests that an organisation may send at once under its rate limit. Default 5. */
+    /** The burst that an organisation's rate limit allows, in seconds of its rate. Default 5. */
     readonly burstSeconds?: number;
 }
 
--- a/packages/policy/src/lib/admission/createOrganisationLimits.test.ts
+++ b/packages/policy/src/lib/admission/createOrganisationLimits.test.ts
@@ -4,7 +4,7 @@
 import { createOrganisationLimits } from "./createOrganisationLimits.js";
 import { type LimitSpec } from "./OrganisationLimits.js";
 
-/** Entries that see each other through a list of who is live. */
+/** Entries that share a list of live entries. */
 class Fleet {
     readonly clock = new ManualClock();
     live: number[];
@@ -20,7 +20,7 @@
         );
     }
 
-    /** Sends one request to each live entry. Returns the releases of those that were let in. */
+    /** Sends one request to each live entry. Returns the release functions of the admitted requests. */
     offer(spec: LimitSpec, organisation = "ports"): (() => void)[] {
         return this.live.flatMap(name => {
             const admitted = this.entries[name]?.admit(organisation, spec);
@@ -28,7 +28,7 @@
         });
     }
 
-    /** Offers far more than any limit here for some seconds. Returns how many were let in. */
+    /** Offers a load far above the limits for the given time. Returns the number of admitted requests. */
     flood(spec: LimitSpec, seconds: number): number {
         let taken = 0;
         for (let step = 0; step < seconds * 100; step++) {
@@ -39,13 +39,13 @@
     }
 }
 
-test("a rate holds over three entries", () => {
+test("a rate limit holds over three entries together", () => {
     const taken = new Fleet(3).flood({ requestsPerSecond: 9 }, 20);
-    // The bursts of three entries, of 4 requests each, come on top of 180.
+    // The bursts of three entries, of 4 requests each, are added to 180.
     assert.ok(taken >= 177 && taken <= 192, `${taken}`);
 });
 
-test("random arrivals below the limit lose little to the parts of many entries", () => {
+test("random arrivals below the limit are rarely refused when the limit is split over many entries", () => {
     const clock = new ManualClock();
     const random = seededRandom(7);
     const part = (index: number) => ({ index, count: 40 });
@@ -62,12 +62,12 @@
     assert.ok(taken > 0.92 * 8000, `${taken} of 8000`);
 });
 
-test("a part below one request per second keeps its rate", () => {
+test("an entry's share below one request per second is enforced", () => {
     const taken = new Fleet(3).flood({ requestsPerSecond: 0.5 }, 100);
     assert.ok(taken >= 48 && taken <= 53, `${taken}`);
 });
 
-test("what a quiet second leaves is taken later", () => {
+test("tokens unused during an idle second allow a burst later", () => {
     const fleet = new Fleet(1);
     fleet.flood({ requestsPerSecond: 10 }, 5);
     fleet.clock.advance(1000);
@@ -75,7 +75,7 @@
     assert.equal(taken.reduce((sum, count) => sum + count, 0), 10);
 });
 
-test("a refusal names the time of the next token", () => {
+test("a refusal returns the time until the next token", () => {
     const clock = new ManualClock();
     const limits = createOrganisationLimits({ clock });
     const spec = { requestsPerSecond: 0.5 };
@@ -89,7 +89,7 @@
     assert.ok(limits.admit("ports", spec).isOk);
 });
 
-test("the living take over a dead entry's part and give a new one its own", () => {
+test("live entries take over the share of a dead entry and cede a share to a new one", () => {
     const fleet = new Fleet(3);
     fleet.flood({ requestsPerSecond: 9 }, 10);
     fleet.live = [0, 2];
@@ -100,7 +100,7 @@
     assert.ok(three >= 174 && three <= 189, `three entries ${three}`);
 });
 
-test("parts of requests in progress add up to the limit", () => {
+test("the entries' shares of a concurrency limit add up to the limit", () => {
     for (const organisation of ["ports", "depots", "yards"]) {
         const fleet = new Fleet(3);
         const spec = { maxInFlight: 10 };
@@ -112,12 +112,12 @@
     }
 });
 
-test("every entry takes one below one in progress for each", () => {
+test("every entry admits one request when the concurrency limit is below the number of entries", () => {
     const fleet = new Fleet(3);
     assert.equal([fleet.offer({ maxInFlight: 1 }), fleet.offer({ maxInFlight: 1 })].flat().length, 3);
 });
 
-test("a changed limit takes effect", () => {
+test("a changed limit takes effect with the next request", () => {
     const fleet = new Fleet(3);
     fleet.flood({ requestsPerSecond: 9 }, 10);
     const faster = fleet.flood({ requestsPerSecond: 30 }, 10);
@@ -125,11 +125,11 @@
     const slower = fleet.flood({ requestsPerSecond: 3 }, 20);
     assert.ok(slower >= 57 && slower <= 66, `${slower}`);
     assert.equal(fleet.flood({}, 1), 300);
-    // What was let in without a limit counts once there is one.
+    // Requests admitted without a limit count towards a limit set later.
     assert.equal(fleet.offer({ maxInFlight: 300 }).length, 0);
 });
 
-test("forgetting idle organisations gives nobody more", () => {
+test("removing idle accounts does not reset the limits of active organisations", () => {
     const clock = new ManualClock();
     const limits = createOrganisationLimits({ clock });
     const spec = { requestsPerSecond: 0.1, maxInFlight: 1 };
--- a/packages/policy/src/lib/admission/createOrganisationLimits.ts
+++ b/packages/policy/src/lib/admission/createOrganisationLimits.ts
@@ -10,16 +10,16 @@
  */
 export interface OrganisationLimitsOptions {
     readonly clock: Clock;
-    /** This entry's part, asked for at each request so that it follows the live entries. By default the whole. */
+    /** Returns this entry's position; called at each request to follow the live entries. Default: the only entry. */
     readonly part?: () => EntryPart;
-    /** Seconds of the part of a rate that may be saved up. Default 1. */
+    /** The burst allowed, in seconds of this entry's share of the rate. Default 1. */
     readonly burstSeconds?: number;
     /**
-     * Requests that may be saved up however small the part is, but no more than the whole limit saves up; never less than
-     * one. Random arrivals meet refusals below the limit without it. Default 4.
+     * The minimum burst in requests, however small this entry's share is. It is capped at the burst of the whole limit,
+     * and at least one. Without it, random arrivals below the limit would be refused. Default 4.
      */
     readonly minBurst?: number;
-    /** The time to come back that is given when too many are in progress, in milliseconds. Default 1000. */
+    /** The retry delay returned when too many requests are in flight, in milliseconds. Default 1000. */
     readonly inFlightRetry?: number;
 }
 
@@ -28,10 +28,10 @@
     bucket: TokenBucket | undefined;
 }
 
-/** Accounts from which on idle ones are looked for. */
+/** The number of accounts at which idle ones are first removed. */
 const firstSweep = 1024;
 
-class PartialLimits implements OrganisationLimits {
+class EntryLimits implements OrganisationLimits {
     private readonly accounts = new Map<string, Account>();
     private nextSweep = firstSweep;
 
@@ -41,7 +41,7 @@
         const account = this.accountOf(organisation);
         const part = this.options.part();
         this.updateRate(account, spec.requestsPerSecond, part);
-        if (spec.maxInFlight !== undefined && account.inFlight >= wholePart(organisation, spec.maxInFlight, part)) {
+        if (spec.maxInFlight !== undefined && account.inFlight >= integerShare(organisation, spec.maxInFlight, part)) {
             const details = { retryAfter: this.options.inFlightRetry };
             return Result.err(failure(requestCodes.limitReached, "too many requests in progress", details));
         }
@@ -82,10 +82,10 @@
         }
     }
 
-    /** Forgets the accounts that do not differ from new ones. */
+    /** Removes the accounts whose state equals that of a new account. */
     private sweep(): void {
         for (const [organisation, { inFlight, bucket }] of this.accounts) {
-            if (inFlight === 0 && bucket?.full !== false) {
+            if (inFlight === 0 && bucket?.isFull !== false) {
                 this.accounts.delete(organisation);
             }
         }
@@ -93,7 +93,7 @@
     }
 }
 
-/** Counts a request in, and returns what counts it out, once. */
+/** Counts a request as in flight. Returns an idempotent function that releases it. */
 function countIn(account: Account): () => void {
     account.inFlight++;
     let counted = true;
@@ -106,11 +106,11 @@
 }
 
 /**
- * A whole number of requests for this entry, so that the parts of all entries add up to the limit. Organisations begin
- * at different entries, or the first entries would get what is left over of every limit. A limit below the number of
- * entries gives each entry one all the same, as its callers could not get in otherwise.
+ * This entry's share of a limit as an integer, so that the shares of all entries add up to the limit. The start is
+ * offset by organisation, as otherwise the first entries would get the remainder of every limit. If the limit is below
+ * the number of entries, each entry still allows one request, since its callers would otherwise always be refused.
  */
-function wholePart(organisation: string, limit: number, { index, count }: EntryPart): number {
+function integerShare(organisation: string, limit: number, { index, count }: EntryPart): number {
     const place = (index + hash(organisation)) % count;
     return Math.max(1, Math.floor((place + 1) * limit / count) - Math.floor(place * limit / count));
 }
@@ -124,7 +124,7 @@
 }
 
 /**
- * Creates the limits of organisations at one entry.
+ * Creates the limiter for the requests of organisations at one entry.
  *
  * @example
  * ```ts
@@ -134,7 +134,7 @@
  * @public
  */
 export function createOrganisationLimits(options: OrganisationLimitsOptions): OrganisationLimits {
-    return new PartialLimits({
+    return new EntryLimits({
         part: () => ({ index: 0, count: 1 }),
         burstSeconds: 1,
         minBurst: 4,
--- a/packages/policy/src/lib/admission/createWorkQueue.test.ts
+++ b/packages/policy/src/lib/admission/createWorkQueue.test.ts
@@ -27,7 +27,7 @@
     return { clock, queue, started, refused, offer };
 }
 
-test("late work is refused before it runs", () => {
+test("an item that cannot meet its first-token bound is refused before it runs", () => {
     const { offer, started } = setUp({ initialHold: 2000 });
     offer("a");
     offer("b");
@@ -38,7 +38,7 @@
     assert.deepEqual(started, ["a", "b"]);
 });
 
-test("an item that can no longer keep its bound leaves the queue", () => {
+test("a queued item is refused once it can no longer meet its bound", () => {
     const { clock, queue, offer, started, refused } = setUp();
     offer("a");
     offer("b");
@@ -50,7 +50,7 @@
     assert.deepEqual(started, ["a", "b"]);
 });
 
-test("an item leaves the queue at its deadline", () => {
+test("a queued item is refused at its deadline", () => {
     const { clock, offer, refused } = setUp();
     offer("a");
     offer("b");
@@ -61,7 +61,7 @@
     assert.equal(refused.get("c")?.code, requestCodes.deadlinePassed);
 });
 
-test("a cancelled item leaves at once and never starts", () => {
+test("a cancelled item is removed immediately and never starts", () => {
     const { queue, offer, started, refused } = setUp();
     offer("a");
     offer("b");
@@ -73,7 +73,7 @@
     assert.equal(refused.size, 0);
 });
 
-test("higher priority goes first, then the earlier bound", () => {
+test("items are served by priority, then by the earlier bound", () => {
     const { queue, offer, started } = setUp({ slots: 1 });
     offer("running");
     offer("late", { startBound: 500 });
@@ -83,7 +83,7 @@
     assert.deepEqual(started, ["running", "urgent", "early", "late"]);
 });
 
-test("a full queue gives up the longest organisation's item, not the newcomer's", () => {
+test("a full queue evicts an item of the organisation with the longest queue for a new organisation", () => {
     const { offer, refused } = setUp({ slots: 1, capacity: 3, initialHold: 10 });
     ["running", "a", "b", "c"].forEach(id => offer(id));
     assert.ok(offer("d").isErr);
@@ -92,7 +92,7 @@
     assert.equal([...refused.values()][0]!.code, requestCodes.overloaded);
 });
 
-test("closing refuses what waits and what comes as not run", () => {
+test("closing the queue refuses queued and new items", () => {
     const { queue, offer, refused } = setUp();
     ["a", "b", "c"].forEach(id => offer(id));
     queue.close();
@@ -101,7 +101,7 @@
     assert.ok(outcome.isErr && outcome.error.code === requestCodes.stopping);
 });
 
-test("organisation limits refuse with a time to come back", () => {
+test("a refusal by an organisation limit carries a retry delay", () => {
     const { clock, queue, offer } = setUp({ slots: 20, burstSeconds: 1 });
     queue.setShare("depots", 1, 2);
     queue.setShare("hospitals", 1, undefined, 1);
@@ -118,7 +118,7 @@
     assert.ok(offer("g", { organisation: "hospitals" }).isOk);
 });
 
-/** Keeps a backlog of every organisation and counts the slot time that each gets. */
+/** Keeps every organisation backlogged and sums the slot time that each gets. */
 function serve(weights: ReadonlyMap<string, number>, holds: ReadonlyMap<string, number>, rounds: number) {
     const clock = new ManualClock();
     const queue = createWorkQueue({ clock, slots: 4, initialHold: 50, reserve: 0 });
@@ -161,7 +161,7 @@
             const holds = new Map(names.map((name, index) => [name, organisations[index]!.hold]));
             const served = serve(weights, holds, 600);
             const shares = names.map(name => (served.get(name) ?? 0) / weights.get(name)!);
-            // Four slots run items whose length is known only at their end, so each may be two items off.
+            // The duration of an item is known only at its end, so each of the four slots may be off by two items.
             const longest = Math.max(...names.map(name => holds.get(name)! / weights.get(name)!));
             const error = Math.max(...shares) - Math.min(...shares);
             assert.ok(error <= 2 * 4 * longest + 2 * 4 * 200, `shares ${shares.join(" ")}`);
@@ -170,7 +170,7 @@
     );
 });
 
-test("unused share is lent and taken back at the next free slot", () => {
+test("an unused share is lent to others and reclaimed at the next free slot", () => {
     const { queue, offer, started } = setUp({ slots: 4, initialHold: 100 });
     ["a", "b", "c", "d", "e", "f"].forEach(id => offer(id));
     assert.deepEqual(started, ["a", "b", "c", "d"]);
@@ -190,7 +190,7 @@
     assert.equal(started.at(-1), "second");
 });
 
-test("slots shrink until tokens keep their bound and grow back", () => {
+test("concurrency is reduced while token intervals exceed their bound, and restored afterwards", () => {
     const { queue, offer, started } = setUp({ slots: 10 });
     const fill = (prefix: string) => {
         for (let index = 0; index < 10; index++) {
@@ -215,7 +215,7 @@
     assert.equal(queue.running, 10);
 });
 
-test("a target that was slow for a while takes work again", () => {
+test("a target admits work again after a slow period", () => {
     const { clock, queue, offer, started } = setUp({ slots: 4 });
     for (let index = 0; index < 40; index++) {
         offer(`slow-${index}`);
@@ -228,7 +228,7 @@
     assert.ok(offer("three").isOk);
 });
 
-test("a first guess that is far too high is soon put right", () => {
+test("an initial estimate that is far too high is corrected quickly", () => {
     const { clock, queue, offer, started } = setUp({ slots: 10, initialTokenCost: 5 });
     let admitted = 0;
     for (let index = 0; index < 100; index++) {
--- a/packages/policy/src/lib/admission/createWorkQueue.ts
+++ b/packages/policy/src/lib/admission/createWorkQueue.ts
@@ -8,13 +8,13 @@
 import { type WorkItem, type WorkQueue } from "./WorkQueue.js";
 import { type CompleteWorkQueueOptions, completeWorkQueueOptions, type WorkQueueOptions } from "./WorkQueueOptions.js";
 
-/** The shortest time after which a refused request should come back, in milliseconds. */
+/** The minimum retry delay returned with a refusal, in milliseconds. */
 const minRetryAfter = 50;
 
 interface RunningItem {
     readonly account: OrganisationAccount;
     readonly priority: number;
-    /** The slot time that the fair order was charged with at the start, in milliseconds. */
+    /** The slot time charged to the organisation at the start, in milliseconds. */
     readonly charged: number;
 }
 
@@ -28,9 +28,10 @@
     private readonly waiting = new Map<string, WaitingItem>();
     private readonly expiry = new IndexedHeap<WaitingItem>();
     private expiryTimer: { readonly due: number; readonly timer: Timer; } | undefined;
-    /** The mean time that an item holds its slot, in milliseconds. */
-    private hold: number;
-    private usualCost = 0;
+    /** Mean time that an item holds its slot, in milliseconds. */
+    private meanHold: number;
+    /** Mean prefill cost of the offered items, in tokens. */
+    private meanCost = 0;
     private closed = false;
 
     constructor(private readonly options: CompleteWorkQueueOptions) {
@@ -38,7 +39,7 @@
         this.accounts = new OrganisationAccounts(options);
         this.firstToken = new FirstTokenModel(options);
         this.limit = new ConcurrencyLimit(options.slots, options.tokenBound);
-        this.hold = options.initialHold;
+        this.meanHold = options.initialHold;
     }
 
     get running(): number {
@@ -50,7 +51,10 @@
     }
 
     offer(item: WorkItem): Outcome<"started" | "queued"> {
-        assert(!this.active.has(item.id) && !this.waiting.has(item.id), `work item ${item.id} is already here`);
+        assert(
+            !this.active.has(item.id) && !this.waiting.has(item.id),
+            `work item ${item.id} is already queued or running`,
+        );
         if (this.closed) {
             return Result.err(stopping());
         }
@@ -59,12 +63,12 @@
         }
         const account = this.accounts.get(item.organisation);
         this.accounts.touch(account);
-        this.usualCost += (item.cost - this.usualCost) / this.options.memory;
+        this.meanCost += (item.cost - this.meanCost) / this.options.memory;
         const prediction = this.firstToken.predict(item.cost);
         const startsNow = this.startsNow(account);
-        const wait = startsNow ? 0 : this.waitOf(account, item.priority);
+        const wait = startsNow ? 0 : this.predictedWait(account, item.priority);
         const late = wait + prediction - Math.min(this.boundOf(item, account), item.timeLeft);
-        // Now and then an item starts whatever is predicted, or a wrong prediction would never be put right.
+        // An item may start against the prediction from time to time; otherwise a wrong one would never be corrected.
         const isTrial = startsNow && this.firstToken.needsTrial();
         if (late > 0 && !isTrial) {
             return Result.err(this.overloaded(late));
@@ -80,9 +84,9 @@
         this.active.delete(id);
         done.account.running--;
         this.firstToken.finished(id);
-        this.hold += (duration - this.hold) / this.options.memory;
-        const usual = done.account.hold ?? duration;
-        done.account.hold = usual + (duration - usual) / this.options.memory;
+        this.meanHold += (duration - this.meanHold) / this.options.memory;
+        const usual = done.account.meanHold ?? duration;
+        done.account.meanHold = usual + (duration - usual) / this.options.memory;
         this.scheduler.correct(done.account, done.priority, duration - done.charged);
         this.startWaiting();
     }
@@ -92,7 +96,7 @@
         if (waiting === undefined) {
             return false;
         }
-        this.leave(waiting);
+        this.dequeue(waiting);
         return true;
     }
 
@@ -108,7 +112,7 @@
     estimate(): number {
         const isFree = this.active.size + this.scheduler.size < this.limit.value;
         const wait = isFree ? 0 : (this.scheduler.size + 1) * this.drainInterval();
-        return wait + this.firstToken.predict(this.usualCost);
+        return wait + this.firstToken.predict(this.meanCost);
     }
 
     setShare(organisation: string, share: number, requestsPerSecond?: number, maxInFlight?: number): void {
@@ -146,7 +150,7 @@
     }
 
     private makeRoom(account: OrganisationAccount, priority: number): boolean {
-        const displaced = this.scheduler.displacedBy(account, priority);
+        const displaced = this.scheduler.findItemToDisplace(account, priority);
         if (displaced === undefined) {
             return false;
         }
@@ -162,7 +166,7 @@
         this.armExpiry();
     }
 
-    private leave(waiting: WaitingItem): void {
+    private dequeue(waiting: WaitingItem): void {
         this.waiting.delete(waiting.item.id);
         waiting.account.queued--;
         this.scheduler.remove(waiting);
@@ -170,13 +174,13 @@
     }
 
     private refuse(waiting: WaitingItem, reason: Failure): void {
-        this.leave(waiting);
+        this.dequeue(waiting);
         waiting.item.refuse(reason);
     }
 
-    /** Charges an organisation for an item that is about to start. Returns the slot time charged, in milliseconds. */
+    /** Charges an organisation for an item that is about to start. Returns the charged slot time in milliseconds. */
     private charge(account: OrganisationAccount, priority: number): number {
-        const expected = account.hold ?? this.hold;
+        const expected = account.meanHold ?? this.meanHold;
         this.scheduler.start(account, priority, expected);
         return expected;
     }
@@ -195,45 +199,45 @@
                 return;
             }
             const { item, account } = waiting;
-            // The charge comes first, while the organisation still counts as waiting.
+            // Charge before the item is removed from the queue, while the organisation still counts as backlogged.
             const charged = this.charge(account, item.priority);
-            this.leave(waiting);
+            this.dequeue(waiting);
             this.begin(item, account, charged);
         }
     }
 
-    /** Organisations at or above their fair share leave the reserved slots to the others. */
+    /** Organisations at or above their fair share may not use the reserved slots. */
     private mayStart(account: OrganisationAccount): boolean {
         if (this.active.size >= this.limit.value) {
             return false;
         }
-        return !this.isInReserve() || !this.accounts.overShare(account, this.limit.value);
+        return !this.isInReserve() || !this.accounts.isOverShare(account, this.limit.value);
     }
 
-    /** True when only reserved slots are free. */
+    /** True when at most the reserved slots are free. */
     private isInReserve(): boolean {
         const reserved = Math.ceil(this.limit.value * this.options.reserve);
         return this.active.size >= this.limit.value - reserved;
     }
 
-    /** Whether a new item starts at once: nothing waits, or all that waits may not take the slots that are left. */
+    /** True when a new item can start immediately: the queue is empty, or only reserved slots are free. */
     private startsNow(account: OrganisationAccount): boolean {
         return this.mayStart(account) && (this.scheduler.size === 0 || this.isInReserve());
     }
 
-    /** The bound that an item is admitted against; above its share an organisation leaves headroom to the others. */
+    /** The first-token bound used for admission, tightened by `headroom` for an organisation above its fair share. */
     private boundOf(item: WorkItem, account: OrganisationAccount): number {
-        const isOver = this.accounts.overShare(account, this.limit.value);
+        const isOver = this.accounts.isOverShare(account, this.limit.value);
         return isOver ? item.startBound * (1 - this.options.headroom) : item.startBound;
     }
 
-    private waitOf(account: OrganisationAccount, priority: number): number {
-        return this.scheduler.placeOf(account, priority) * this.drainInterval();
+    private predictedWait(account: OrganisationAccount, priority: number): number {
+        return this.scheduler.queuePosition(account, priority) * this.drainInterval();
     }
 
-    /** The mean time until the next slot is freed, in milliseconds. */
+    /** Expected time until the next slot is freed, in milliseconds. */
     private drainInterval(): number {
-        return this.hold / Math.max(1, this.active.size);
+        return this.meanHold / Math.max(1, this.active.size);
     }
 
     private overloaded(late: number): Failure {
@@ -270,7 +274,7 @@
 }
 
 /**
- * Creates the queue of an agent.
+ * Creates the work queue of an agent.
  *
  * @example
  * ```ts
--- a/packages/policy/src/lib/support/IndexedHeap.test.ts
+++ b/packages/policy/src/lib/support/IndexedHeap.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { IndexedHeap } from "./IndexedHeap.js";
 
-test("heap agrees with a sorted list over any edits", () => {
+test("the heap returns members in the order of a sorted list after any sequence of edits", () => {
     const edit = fc.record({
         key: fc.integer({ min: 0, max: 9 }),
         rank: fc.integer({ min: 0, max: 5 }),
--- a/packages/policy/src/lib/support/IndexedHeap.ts
+++ b/packages/policy/src/lib/support/IndexedHeap.ts
@@ -6,8 +6,8 @@
 }
 
 /**
- * A binary heap with the lowest rank first, whose members can be removed or ranked anew by key in logarithmic time.
- * Members of equal rank leave in the order in which they came.
+ * A binary min-heap by rank, whose members can be removed or given a new rank by key in logarithmic time. Members of
+ * equal rank are returned in insertion order.
  *
  * @internal
  */
@@ -24,7 +24,7 @@
         return this.places.has(key);
     }
 
-    /** Adds a member, or ranks it anew if its key is already here. */
+    /** Adds a member, or replaces the member of the same key. */
     set(key: string, rank: number, value: T): void {
         this.delete(key);
         this.nodes.push({ key, value, rank, order: this.added++ });
@@ -36,7 +36,7 @@
         return this.nodes[0]?.value;
     }
 
-    /** The lowest rank, or infinity when the heap is empty. */
+    /** Returns the lowest rank, or infinity when the heap is empty. */
     lowestRank(): number {
         return this.nodes[0]?.rank ?? Infinity;
     }
@@ -46,12 +46,12 @@
         return first === undefined ? undefined : this.delete(first.key);
     }
 
-    /** Some member of the later half, found in constant time. */
-    peekLate(): T | undefined {
+    /** Returns a leaf of the heap in constant time: a member with a high rank, though not always the highest. */
+    peekLeaf(): T | undefined {
         return this.nodes.at(-1)?.value;
     }
 
-    /** Removes a member and returns it, or undefined if there is none of this key. */
+    /** Removes and returns the member of a key, or returns undefined when there is none. */
     delete(key: string): T | undefined {
         const place = this.places.get(key);
         if (place === undefined) {
@@ -68,7 +68,7 @@
         return removed.value;
     }
 
-    /** All members, in no particular order. */
+    /** Iterates over all members, in no particular order. */
     *values(): IterableIterator<T> {
         for (const node of this.nodes) {
             yield node.value;
--- a/packages/policy/src/lib/support/statistics.ts
+++ b/packages/policy/src/lib/support/statistics.ts
@@ -1,8 +1,8 @@
-/** Makes the median absolute deviation of a normal distribution equal to its standard deviation. */
+/** Scales the median absolute deviation of a normal distribution to its standard deviation. */
 const normalConsistency = 1.4826;
 
 /**
- * The median of some numbers; 0 when there are none.
+ * Returns the median of the values, or 0 when there are none.
  *
  * @internal
  */
@@ -16,7 +16,7 @@
 }
 
 /**
- * The spread of some numbers about their median, on the scale of a standard deviation.
+ * Returns the median absolute deviation from the centre, scaled to a standard deviation.
  *
  * @internal
  */
