--- a/packages/policy/src/lib/retry/RetryBudget.ts
+++ b/packages/policy/src/lib/retry/RetryBudget.ts
@@ -1,23 +1,23 @@
 /**
- * Limits retries to a share of the requests that succeed, so that retries cannot feed an overload.
+ * Limits retries to a share of the successful requests, so that retries cannot sustain an overload.
  *
  * @public
  */
 export interface RetryBudget {
-    /** Counts a first attempt. */
+    /** Records the first attempt of a request. */
     request(): void;
-    /** Counts an attempt's end. */
+    /** Records the end of an attempt. */
     ended(success: boolean): void;
     /**
-     * Takes a retry from the budget.
+     * Takes the cost of one retry from the budget.
      *
-     * @param kind - What the retry follows: `failed`, when work may have been done, or `refused`, when the target said
-     * at once that it did not run, which costs less. Default `failed`.
-     * @returns False when too little is left.
+     * @param kind - The outcome of the previous attempt: `failed` when work may have been done, or `refused` when the
+     * target refused the request without running it, which costs less. Default `failed`.
+     * @returns False when the budget is too low.
      */
     spend(kind?: "failed" | "refused"): boolean;
     /**
-     * The time to wait before a retry, with jitter, in milliseconds.
+     * Returns the back-off delay before a retry, with jitter, in milliseconds.
      *
      * @param attempt - The number of the retry, from 1.
      */
--- a/packages/policy/src/lib/retry/RetryBudgets.ts
+++ b/packages/policy/src/lib/retry/RetryBudgets.ts
@@ -1,11 +1,11 @@
 import { type RetryBudget } from "./RetryBudget.js";
 
 /**
- * One retry budget for each organisation, so that none spends another's.
+ * A separate retry budget for each organisation, so that no organisation can use up the budget of another.
  *
  * @public
  */
 export interface RetryBudgets {
-    /** The budget of an organisation. Ask for it at each request and do not keep it longer. */
+    /** Returns the budget of an organisation. Call this for each request, since an unused budget may be evicted. */
     of(organisation: string): RetryBudget;
 }
--- a/packages/policy/src/lib/retry/createRetryBudget.test.ts
+++ b/packages/policy/src/lib/retry/createRetryBudget.test.ts
@@ -21,7 +21,7 @@
     assert.equal(budget.spend(), false);
 });
 
-test("budget shrinks faster than successes fall", () => {
+test("the budget shrinks faster than the success rate", () => {
     const funded = (successOf: (i: number) => boolean) => {
         const budget = createRetryBudget({ clock: new ManualClock(), random: seededRandom(1), capacity: 1000 });
         drain(budget);
@@ -37,7 +37,7 @@
     assert.ok(half < healthy / 3, `half ${half}`);
 });
 
-test("budget recovers once attempts succeed again", () => {
+test("the budget recovers once attempts succeed again", () => {
     const budget = createRetryBudget({ clock: new ManualClock(), random: seededRandom(1) });
     drain(budget);
     for (let i = 0; i < 500; i++) {
@@ -51,7 +51,7 @@
     assert.equal(drain(budget), 20);
 });
 
-test("successful retries do not pay for more retries", () => {
+test("successful retries do not fund further retries", () => {
     const budget = createRetryBudget({ clock: new ManualClock(), random: seededRandom(1) });
     drain(budget);
     budget.request();
@@ -61,7 +61,7 @@
     assert.equal(budget.spend(), false);
 });
 
-test("a refused request costs less to retry than a failed one", () => {
+test("the retry of a refused request costs less than that of a failed one", () => {
     const budget = createRetryBudget({ clock: new ManualClock(), random: seededRandom(1), capacity: 2 });
     let refused = 0;
     while (budget.spend("refused")) {
@@ -71,7 +71,7 @@
     assert.equal(budget.spend(), false);
 });
 
-test("backoff is spread over the whole range and capped", () => {
+test("back-off delays are spread over the whole range and capped", () => {
     const budget = createRetryBudget({ clock: new ManualClock(), random: seededRandom(7) });
     const waits = Array.from({ length: 1000 }, () => budget.backoff(3));
     assert.ok(Math.max(...waits) <= 100 && Math.max(...waits) > 90);
--- a/packages/policy/src/lib/retry/createRetryBudget.ts
+++ b/packages/policy/src/lib/retry/createRetryBudget.ts
@@ -2,39 +2,40 @@
 import { type RetryBudget } from "./RetryBudget.js";
 
 /**
- * Options of {@link createRetryBudget}. The defaults are defended in docs/design/retries.md.
+ * Options of {@link createRetryBudget}. The reasons for the defaults are in docs/design/retries.md.
  *
  * @public
  */
 export interface RetryBudgetOptions {
     readonly clock: Clock;
     readonly random: Random;
-    /** Retries that one success pays for while nothing fails. Default 0.1. */
+    /** Retries granted per successful request while no attempt fails. Default 0.1. */
     readonly ratio?: number;
-    /** The most retries that can be saved up; also what a new budget holds. Default 20. */
+    /** Maximum and initial number of retries in the budget. Default 20. */
     readonly capacity?: number;
-    /** What the retry of a refused request takes from the budget, against 1 for one that failed. Default 0.25. */
+    /** Cost of the retry of a refused request; that of a failed one costs 1. Default 0.25. */
     readonly refusalCost?: number;
-    /** Retries per second granted without any success, so that an idle process can still retry. Default 0.1. */
+    /** Retries per second granted regardless of successes, so that an idle process can still retry. Default 0.1. */
     readonly trickle?: number;
-    /** How many ends the share of successes looks back on. Default 50. */
+    /** Number of ended attempts that the success rate averages over. Default 50. */
     readonly memory?: number;
-    /** The upper limit of the first wait, in milliseconds. It doubles with each retry. Default 25. */
+    /** Upper limit of the first back-off delay, in milliseconds. It doubles with each retry. Default 25. */
     readonly baseDelay?: number;
-    /** The upper limit of any wait, in milliseconds. Default 2000. */
+    /** Upper limit of every back-off delay, in milliseconds. Default 2000. */
     readonly maxDelay?: number;
 }
 
 const millisecondsPerSecond = 1000;
 
 /**
- * A token bucket that successes fill and retries empty. What one success pays shrinks with the square of the share of
- * attempts that succeed, so the budget closes faster than failures grow and cannot hold an overload in place.
+ * A token bucket that is filled by successful requests and drained by retries. The credit of a success is scaled by the
+ * square of the success rate, so the budget shrinks faster than failures grow and cannot sustain an overload.
  */
 class SuccessFundedBudget implements RetryBudget {
     private tokens: number;
     private successShare = 1;
-    private unfunded = 0;
+    /** First attempts that have not yet been matched with an ended attempt. */
+    private uncreditedRequests = 0;
     private refilledAt: number;
 
     constructor(private readonly options: Required<RetryBudgetOptions>) {
@@ -43,16 +44,16 @@
     }
 
     request(): void {
-        this.unfunded++;
+        this.uncreditedRequests++;
     }
 
     ended(success: boolean): void {
         this.successShare += ((success ? 1 : 0) - this.successShare) / this.options.memory;
-        if (this.unfunded === 0) {
+        if (this.uncreditedRequests === 0) {
             return;
         }
-        // Each first attempt pays at most once, so successful retries do not pay for further ones.
-        this.unfunded--;
+        // Each first attempt is credited at most once, so successful retries do not fund further retries.
+        this.uncreditedRequests--;
         if (!success) {
             return;
         }
--- a/packages/policy/src/lib/retry/createRetryBudgets.ts
+++ b/packages/policy/src/lib/retry/createRetryBudgets.ts
@@ -3,17 +3,17 @@
 import { type RetryBudgets } from "./RetryBudgets.js";
 
 /**
- * Options of {@link createRetryBudgets}; those of a budget hold for each.
+ * Options of {@link createRetryBudgets}. The options of a single budget apply to each.
  *
  * @public
  */
 export interface RetryBudgetsOptions extends RetryBudgetOptions {
-    /** Budgets that are kept; beyond it the one least recently used is dropped. Default 1024. */
+    /** Maximum number of budgets; beyond it the least recently used one is evicted. Default 1024. */
     readonly maxOrganisations?: number;
 }
 
 class BoundedBudgets implements RetryBudgets {
-    /** In the order of their last use. */
+    /** Ordered by last use, least recent first. */
     private readonly budgets = new Map<string, RetryBudget>();
 
     constructor(private readonly options: RetryBudgetOptions, private readonly maxOrganisations: number) {}
@@ -31,7 +31,7 @@
 }
 
 /**
- * Creates the retry budgets of one process. An organisation that was dropped starts with a full budget when it comes back.
+ * Creates the retry budgets of one process. An organisation whose budget was evicted starts again with a full one.
  *
  * @public
  */
