--- a/packages/policy/src/lib/health/DataCentreWatch.ts
+++ b/packages/policy/src/lib/health/DataCentreWatch.ts
@@ -1,10 +1,12 @@
 import { type Clock } from "@waxwingspar/utils";
 
-/** Targets of a data centre that must be lost together before it is given up. */
+/** Number of targets of a data centre that must become unreachable before the data centre is avoided. */
 const minLost = 3;
-/** Milliseconds within which they must be lost. */
+/** Milliseconds within which they must become unreachable. */
 const window = 3000;
+/** Milliseconds for which a data centre is avoided the first time. The time doubles on each repetition. */
 const firstPause = 1000;
+/** Upper limit of that time, in milliseconds. */
 const maxPause = 10_000;
 
 interface DataCentreRecord {
@@ -15,8 +17,8 @@
 }
 
 /**
- * Gives up a whole data centre once several of its targets are lost within seconds and none answers in between, rather
- * than finding out about each target by a failed request.
+ * A circuit breaker for data centres. It opens once several targets of a data centre become unreachable within seconds
+ * and none responds in between, so that the remaining targets need not be found unreachable by one failed request each.
  *
  * @internal
  */
@@ -25,7 +27,7 @@
 
     constructor(private readonly clock: Clock) {}
 
-    /** A target of the data centre became unreachable. */
+    /** Records that a target of the data centre became unreachable. */
     lost(dataCentre: string, target: string): void {
         const now = this.clock.now();
         const record = this.records.get(dataCentre)
@@ -44,7 +46,7 @@
         record.pause = Math.min(maxPause, record.pause * 2);
     }
 
-    /** A target of the data centre answered. */
+    /** Records a response from a target of the data centre, which closes the breaker. */
     succeeded(dataCentre: string): void {
         if (this.records.size > 0) {
             this.records.delete(dataCentre);
--- a/packages/policy/src/lib/health/SlowTargetDetector.ts
+++ b/packages/policy/src/lib/health/SlowTargetDetector.ts
@@ -3,17 +3,17 @@
 import { type TargetState } from "../routing/TargetState.js";
 import { median, medianDeviation } from "../support/statistics.js";
 
-/** Peers with enough samples that a comparison needs. */
+/** Minimum number of peers with enough samples for a comparison. */
 const minPeers = 3;
-/** Spreads below this, as logarithms, are taken as this: peers that are all alike must not make a small lag stand out. */
+/** Lower limit of the spread, in logarithms: among nearly equal peers a small delay must not count as an outlier. */
 const minSpread = 0.15;
-/** Milliseconds after which a target that nobody uses any more is judged by the few samples there are. */
+/** Milliseconds without observations after which a target is judged even with fewer than `minSamples` samples. */
 const idleTime = 2000;
-/** How many spreads above the median a slow target lies at least. */
+/** Minimum distance of a slow target above the median, in spreads. */
 const minSpreads = 4;
 
 /**
- * What counts as slow, and how many targets may be ejected for it.
+ * The limits beyond which a target counts as slow, and the share of targets that may be ejected.
  *
  * @internal
  */
@@ -24,9 +24,9 @@
 }
 
 /**
- * Finds the targets of a model version that are slow against their peers, by the median and the median absolute
- * deviation of the logarithms of their learned factors. A few slow targets cannot move either. A target that is avoided
- * for its cost counts as well: once it is ejected, probes find out when it is well again.
+ * Finds the targets of a model version that are slow compared with their peers, by the median and the median
+ * absolute deviation of the logarithms of their learned factors, which a few slow targets cannot shift. A target that
+ * gets no requests because of its cost is included: once it is ejected, probes detect its recovery.
  *
  * @internal
  */
@@ -35,22 +35,22 @@
     limits: SlowTargetLimits,
     now: number,
 ): TargetState[] {
-    const states = [...new Set(ranges.flatMap(range => range.chosen))];
+    const states = [...new Set(ranges.flatMap(range => range.subset))];
     const byInterval = outliers(states, state => state.intervalFactor, limits, now);
     const byPrefill = outliers(states, state => state.prefillFactor, limits, now);
     return [...new Set([...byInterval, ...byPrefill])];
 }
 
 /**
- * Tells whether one more target may be ejected: of each of its layer ranges at most the given share, though one at
- * least where there are two or more.
+ * Returns whether one more target may be ejected. In each of its layer ranges at most the given share of targets may be
+ * ejected, but at least one if the range has two or more.
  *
  * @internal
  */
 export function mayEject(ranges: readonly RangeGroup[], maxEjected: number): boolean {
     return ranges.every(range => {
-        const ejected = range.chosen.filter(state => !state.isUsable()).length;
-        const size = range.chosen.length;
+        const ejected = range.subset.filter(state => !state.isUsable()).length;
+        const size = range.subset.length;
         const cap = size < 2 ? 0 : Math.max(1, Math.floor(size * maxEjected));
         return ejected < cap;
     });
--- a/packages/policy/src/lib/health/TargetHealth.ts
+++ b/packages/policy/src/lib/health/TargetHealth.ts
@@ -2,22 +2,22 @@
 import { type HealthEvent, type HealthState, targetHealthChart } from "./targetHealthChart.js";
 
 /**
- * Options of ejection and return. docs/design/routing.md has the sweeps behind the defaults.
+ * Options for ejecting and readmitting targets. The parameter sweeps behind the defaults are in docs/design/routing.md.
  *
  * @public
  */
 export interface HealthOptions {
-    /** Failures in a row that eject a target. Default 3. */
+    /** Consecutive failures after which a target is ejected. Default 3. */
     readonly consecutiveFailures: number;
-    /** Milliseconds until the first probe of a target that cannot be reached. Doubles with each failed probe. Default 1000. */
+    /** Milliseconds until the first probe of an unreachable target. Doubles with each failed probe. Default 1000. */
     readonly reconnectDelay: number;
-    /** Milliseconds until the first probe of a target ejected as slow or failing. Doubles as well. Default 5000. */
+    /** Milliseconds until the first probe of a slow or failing target. Doubles with each failed probe. Default 5000. */
     readonly ejectionTime: number;
-    /** The longest time between two probes, in milliseconds. Default 30000. */
+    /** Upper limit of the time between probes, in milliseconds. Default 30000. */
     readonly maxEjectionTime: number;
-    /** Milliseconds over which a target that joins or returns comes up to its full share. Default 3000. */
+    /** Milliseconds over which the load share of a new or readmitted target ramps up. Default 3000. */
     readonly slowStart: number;
-    /** The share of its slots that a target may fill as it joins. Default 0.2. */
+    /** The share of its slots that a target may fill at the start of the ramp. Default 0.2. */
     readonly slowStartFloor: number;
 }
 
@@ -31,21 +31,22 @@
     slowStartFloor: 0.2,
 };
 
-/** Probe times are spread by up to this share, so that many entries do not probe a target at the same moment. */
+/** Jitter of the probe delay, as a share of it, so that entries do not probe a target at the same moment. */
 const probeSpread = 0.3;
 
 /**
- * Whether one target may be used, and how much of it: ejection, probes and slow start.
+ * Tracks whether a target may be used and how much of its capacity: ejection, probes and slow start.
  *
  * @internal
  */
 export class TargetHealth {
     private readonly chart = new StateChart<HealthState, HealthEvent>(targetHealthChart);
     private failures = 0;
-    /** Ejections since the target last came up to its full share. */
+    /** Ejections since the target last completed its slow start. */
     private ejections = 0;
     private nextProbe = 0;
     private rampStart: number;
+    /** True while a probe is in flight. */
     private probing = false;
 
     constructor(
@@ -60,19 +61,19 @@
         return this.chart.state;
     }
 
-    /** When the next probe may go, on the clock. */
+    /** Clock time in milliseconds of the next probe. */
     get probeTime(): number {
         return this.nextProbe;
     }
 
-    /** True while ordinary requests may use the target. */
+    /** True while regular requests may use the target. */
     isUsable(): boolean {
         const state = this.chart.state;
         return state === "healthy" || state === "joining";
     }
 
-    /** True when one request should go to the target to find out how it is. */
-    wantsProbe(): boolean {
+    /** True when a request should be sent as a probe. Enters the probing state once the probe delay has elapsed. */
+    isProbeDue(): boolean {
         const state = this.chart.state;
         if ((state === "ejected" || state === "unreachable") && this.clock.now() >= this.nextProbe) {
             this.chart.send("elapsed");
@@ -81,7 +82,7 @@
         return this.chart.state === "probing" && !this.probing;
     }
 
-    /** The share of its slots that the target may fill, from the floor of slow start to 1. */
+    /** The share of its slots that the target may fill, from `slowStartFloor` to 1. */
     ramp(): number {
         if (this.chart.state === "healthy") {
             return 1;
@@ -95,12 +96,12 @@
         return Math.min(1, Math.max(slowStartFloor, progress));
     }
 
-    /** A request was sent as a probe. */
+    /** Records that a request was sent as a probe. */
     probeSent(): void {
         this.probing = true;
     }
 
-    /** The probe ended without a verdict; another may go. */
+    /** Records that the probe ended without a result; another may be sent. */
     probeWithdrawn(): void {
         this.probing = false;
     }
@@ -109,22 +110,22 @@
         this.failures = 0;
     }
 
-    /** The probe went as with any healthy peer. */
+    /** Records that the probe performed like a healthy peer. */
     passed(): void {
         this.failures = 0;
         this.startRamp("passed");
     }
 
-    /** Ends an ejection early, because the cap on ejected targets no longer allows it. */
+    /** Ends an ejection early because the cap on ejected targets no longer allows it. */
     released(): void {
         this.startRamp("released");
     }
 
     /**
-     * A request failed through the target's fault.
+     * Records a request that failed because of the target.
      *
-     * @param weight - Less than 1 when others may be at fault as well.
-     * @param mayEject - Whether the cap on ejected targets allows one more.
+     * @param weight - Less than 1 when other targets may be at fault as well.
+     * @param mayEject - True when the cap on ejected targets allows one more.
      */
     failed(weight: number, mayEject: boolean): void {
         this.failures += weight;
@@ -134,14 +135,14 @@
         }
     }
 
-    /** Takes the target out of use, since it fails or is slow. */
+    /** Ejects the target because it is failing or slow. */
     eject(): void {
         if (this.chart.send("fault")) {
             this.scheduleProbe(this.options.ejectionTime);
         }
     }
 
-    /** The connection could not be opened or was lost. */
+    /** Records that the connection to the target could not be opened or was lost. */
     lost(): void {
         if (this.chart.send("lost")) {
             this.scheduleProbe(this.options.reconnectDelay);
--- a/packages/policy/src/lib/health/targetHealthChart.ts
+++ b/packages/policy/src/lib/health/targetHealthChart.ts
@@ -7,7 +7,7 @@
 export type HealthEvent = "ramped" | "fault" | "lost" | "elapsed" | "passed" | "released";
 
 /**
- * The states of a target's health, read from targetHealth.json.
+ * The state chart of a target's health, read from targetHealth.json.
  *
  * @internal
  */
--- a/packages/policy/src/lib/routing/CandidateSampler.ts
+++ b/packages/policy/src/lib/routing/CandidateSampler.ts
@@ -4,7 +4,7 @@
 import { type TargetState } from "./TargetState.js";
 
 /**
- * Draws the few targets of a layer range among which a request chooses.
+ * Samples the candidate targets of a layer range for a request.
  *
  * @internal
  */
@@ -15,23 +15,25 @@
         private readonly choices: number,
     ) {}
 
-    /** Draws near targets, and one farther away so that work can spill over. */
+    /** Samples targets of the nearest tier, and one of a farther tier so that work can spill over. */
     sample(range: RangeGroup, exclude: ReadonlySet<string>): TargetState[] {
         range.refresh();
         const { active, near } = range;
         const drawn: TargetState[] = [];
         this.draw(active, 0, near, this.choices, exclude, drawn);
-        // When nothing near is left, the far ones take the whole draw.
+        // Without a usable target in the nearest tier, the whole sample comes from the farther ones.
         this.draw(active, near, active.length, drawn.length === 0 ? this.choices : 1, exclude, drawn);
         return drawn;
     }
 
-    /** Whether an ordinary request may use a target. */
+    /** Returns whether a regular request may use a target. */
     allows(state: TargetState, exclude: ReadonlySet<string>): boolean {
         return state.isUsable() && !exclude.has(state.name) && !this.dataCentres.isAvoided(state.target.dataCentre);
     }
 
-    /** Draws without repetition from a part of a list, starting anywhere and stepping by a random stride. */
+    /**
+     * Samples without replacement from a section of a list: first by random draws, then by a scan from a random start.
+     */
     private draw(
         states: readonly TargetState[],
         from: number,
@@ -49,7 +51,7 @@
         for (let tries = 0; tries < 2 * wanted && found < wanted && taken.size < size; tries++) {
             found += this.take(states, from + this.random.below(size), taken, exclude, drawn);
         }
-        // Random draws may keep hitting targets that cannot be used; then every target gets its turn.
+        // Random draws may hit only unusable or already drawn targets, so the whole section is scanned as well.
         const start = this.random.below(size);
         for (let step = 0; step < size && found < wanted; step++) {
             found += this.take(states, from + (start + step) % size, taken, exclude, drawn);
--- a/packages/policy/src/lib/routing/ChainAttempt.ts
+++ b/packages/policy/src/lib/routing/ChainAttempt.ts
@@ -3,46 +3,48 @@
 import { type CostInput } from "./CostModel.js";
 import { type AttemptEnd, type RoutedAttempt } from "./Router.js";
 
-/** Token intervals that are averaged into one observation. */
+/** Number of token intervals averaged into one observation. */
 const intervalsPerObservation = 16;
 
 /**
- * What an attempt tells the router about itself.
+ * Receives the observations of an attempt.
  *
  * @internal
  */
 export interface AttemptObserver {
+    /** Reports the time to the first token, in milliseconds. */
     firstToken(attempt: ChainAttempt, latency: number): void;
-    /** The mean of some intervals between tokens, in milliseconds. */
+    /** Reports the mean of several intervals between tokens, in milliseconds. */
     interval(attempt: ChainAttempt, mean: number): void;
-    /** So many leading blocks of the prompt were in the cache of every stage. */
-    cachedSeen(attempt: ChainAttempt, blocks: number): void;
+    /** Reports how many leading blocks of the prompt were cached on every stage. */
+    cacheHitReported(attempt: ChainAttempt, blocks: number): void;
+    /** Reports the result, and the target at fault if one is known. */
     ended(attempt: ChainAttempt, result: AttemptEnd, target: string | undefined): void;
 }
 
 /**
- * What was learned from the time to the first token.
+ * The update of the prefill factors that was made from the time to the first token.
  *
  * @internal
  */
-export interface FirstTokenLesson {
-    /** In milliseconds. */
+export interface FirstTokenUpdate {
+    /** Time to the first token, in milliseconds. */
     readonly latency: number;
-    /** By how much the factor of each stage changed. */
+    /** The change of each stage's prefill factor. */
     readonly changes: readonly number[];
 }
 
 /**
- * An attempt on a chain: counts its load on every stage while it runs, and passes on what its owner sees.
+ * An attempt on a chain. It adds to the load of every stage while it runs, and forwards the caller's observations.
  *
  * @internal
  */
 export class ChainAttempt implements RoutedAttempt {
     readonly stages: readonly Stage[];
-    /** Blocks of prefill that the attempt added to each stage. */
+    /** Number of prefill blocks that the attempt added to each stage. */
     private readonly prefillBlocks: number;
-    /** The time to the first token, and what was learned from it. */
-    firstTokenLesson: FirstTokenLesson | undefined;
+    /** The update made from the first token; undefined before the first token and for probes. */
+    firstTokenUpdate: FirstTokenUpdate | undefined;
     private awaitsFirstToken = true;
     private isOver = false;
     private intervalSum = 0;
@@ -50,9 +52,9 @@
 
     /**
      * @param key - The model version or service.
-     * @param prefix - The prompt's blocks.
-     * @param expectedBlocks - Leading blocks that every stage is thought to hold.
-     * @param probe - The stage whose target is probed by this attempt, if any.
+     * @param prefix - Hashes of the prompt's blocks.
+     * @param expectedBlocks - Number of leading blocks expected to be cached on every stage.
+     * @param probe - The stage whose target this attempt probes, if any.
      */
     constructor(
         readonly chain: readonly Candidate[],
@@ -95,7 +97,7 @@
 
     cached(blocks: number): void {
         if (!this.isOver) {
-            this.observer.cachedSeen(this, blocks);
+            this.observer.cacheHitReported(this, blocks);
         }
     }
 
--- a/packages/policy/src/lib/routing/ChainPlanner.ts
+++ b/packages/policy/src/lib/routing/ChainPlanner.ts
@@ -3,7 +3,7 @@
 import { type TargetState } from "./TargetState.js";
 
 /**
- * A target that may run one layer range, with its cost.
+ * A target that can run a layer range, and its cost.
  *
  * @internal
  */
@@ -16,16 +16,16 @@
 interface Link {
     readonly candidate: Candidate;
     readonly before: Link | undefined;
-    /** Cost of the chain up to this link. */
+    /** Cost of the chain up to and including this link. */
     readonly total: number;
 }
 
 /**
- * Finds the cheapest chain over layer boundaries, by dynamic programming: the best chain up to each candidate is the
- * best one up to a candidate that ends where it begins, plus the hop between them.
+ * Finds the cheapest chain of layer ranges by dynamic programming: the best chain that ends with a candidate extends
+ * the best chain that ends at the layer before it, plus the cost of the hop between them.
  *
- * @param candidates - Candidates by ascending first layer.
- * @returns The chain in the order of layers, or undefined when the candidates leave a gap.
+ * @param candidates - Candidates in ascending order of their first layer.
+ * @returns The chain in layer order, or undefined when the candidates do not cover all layers.
  * @internal
  */
 export function planChain(
@@ -34,7 +34,7 @@
     activationBytes: number,
     costs: CostModel,
 ): readonly Candidate[] | undefined {
-    /** Links by the layer that must come next. */
+    /** Links by the first layer that the next link must start with. */
     const endings = new Map<number, Link[]>();
     for (const candidate of candidates) {
         const link = candidate.range.first === 0
@@ -64,15 +64,15 @@
     for (const before of endings ?? []) {
         const hop = costs.hopCost(before.candidate.state.target, candidate.state.target, bytes);
         const total = before.total + hop + candidate.cost;
-        if ((best === undefined || total < best.total) && !uses(before, candidate.state)) {
+        if ((best === undefined || total < best.total) && !includesTarget(before, candidate.state)) {
             best = { candidate, before, total };
         }
     }
     return best;
 }
 
-/** A target runs at most one stage of a chain, since its agent knows the request by one stage. */
-function uses(link: Link | undefined, state: TargetState): boolean {
+/** A target runs at most one stage of a chain, since an agent tracks one stage per request. */
+function includesTarget(link: Link | undefined, state: TargetState): boolean {
     for (let step = link; step !== undefined; step = step.before) {
         if (step.candidate.state === state) {
             return true;
--- a/packages/policy/src/lib/routing/LatencyLearner.ts
+++ b/packages/policy/src/lib/routing/LatencyLearner.ts
@@ -2,34 +2,36 @@
 import { type CostInput, type CostModel } from "./CostModel.js";
 import { type LearnedFactor } from "./LearnedFactor.js";
 
-/** The share of an error that a hop between data centres gets; its stages share the rest. */
+/** The share of a prediction error attributed to the hops between data centres; the rest goes to the stages. */
 const hopShare = 0.3;
+/** The learning rate for delays between data centres. */
 const hopRate = 0.1;
 
-/** A stage's part of a prediction. */
+/** A stage's contribution to a predicted time. */
 interface Part {
     readonly factor: LearnedFactor;
-    /** The time the accelerator promises, in milliseconds. */
-    readonly promised: number;
-    /** The time predicted from what was learned, in milliseconds. */
+    /** The time at the nominal speed of the accelerator, in milliseconds. */
+    readonly nominal: number;
+    /** The time predicted with the learned factor, in milliseconds. */
     readonly predicted: number;
 }
 
 /**
- * Learns how slow each target is from times that whole chains took. Each observation corrects its stages in proportion
- * to their predicted parts; over chains that mix targets, the slow one collects the errors.
+ * Learns how slow each target is from the times of whole chains. The error of each observation is distributed over the
+ * stages in proportion to their predicted times; since chains combine different targets, errors accumulate on the slow
+ * ones.
  *
  * @internal
  */
 export class LatencyLearner {
     constructor(private readonly costs: CostModel) {}
 
-    /** Takes in the mean time between tokens of an attempt, in milliseconds. */
+    /** Learns from the mean time between tokens of an attempt, in milliseconds. */
     learnInterval(chain: readonly Candidate[], input: CostInput, key: string, observed: number): void {
-        const usual = this.costs.usualOf(key);
+        const usual = this.costs.peerFiguresOf(key);
         const parts = chain.map(({ state, range }): Part => ({
             factor: state.intervalFactor,
-            promised: this.costs.promisedInterval(state, range),
+            nominal: this.costs.nominalInterval(state, range),
             predicted: this.costs.stageInterval(state, range, input.now, usual),
         }));
         const hops = this.hopDelays(chain, input.activationBytes);
@@ -42,9 +44,9 @@
     }
 
     /**
-     * Takes in the time to the first token of an attempt, in milliseconds.
+     * Learns from the time to the first token of an attempt, in milliseconds.
      *
-     * @returns By how much that changed the factor of each stage.
+     * @returns The change of each stage's prefill factor.
      */
     learnFirstToken(
         chain: readonly Candidate[],
@@ -54,20 +56,20 @@
         observed: number,
     ): readonly number[] {
         const before = chain.map(({ state }) => state.prefillFactor.value);
-        const usual = this.costs.usualOf(key);
+        const usual = this.costs.peerFiguresOf(key);
         const blocks = Math.max(0, input.blocks - cached);
         const parts = chain.map(({ state, range }): Part => {
-            const promised = this.costs.promisedPrefill(state, range, input.layers, blocks + state.pendingBlocks);
+            const promised = this.costs.nominalPrefill(state, range, input.layers, blocks + state.pendingBlocks);
             const predicted = promised * state.prefillFactor.current(input.now, usual.prefill);
-            return { factor: state.prefillFactor, promised, predicted };
+            return { factor: state.prefillFactor, nominal: promised, predicted };
         });
         correct(parts, observed - this.hopDelays(chain, input.activationBytes).total - total(parts), input.now);
         return chain.map(({ state }, index) => state.prefillFactor.value - before[index]!);
     }
 
     /**
-     * Takes back what {@link LatencyLearner.learnFirstToken} learned, since other blocks were cached than was thought: a
-     * miss taken for a hit makes its targets look many times as slow as they are.
+     * Reverts an update by {@link LatencyLearner.learnFirstToken} that assumed a wrong number of cached blocks. A miss
+     * mistaken for a hit makes targets appear many times as slow as they are.
      */
     unlearnFirstToken(chain: readonly Candidate[], changes: readonly number[], now: number): void {
         chain.forEach(({ state: { prefillFactor } }, index) => {
@@ -75,7 +77,7 @@
         });
     }
 
-    /** How slow a probed target is: the whole error of the chain is taken as its own. */
+    /** Estimates the interval factor of a probed target, attributing the chain's whole error to it. */
     probeFactor(
         chain: readonly Candidate[],
         probed: Candidate,
@@ -83,13 +85,13 @@
         key: string,
         observed: number,
     ): number {
-        const usual = this.costs.usualOf(key);
+        const usual = this.costs.peerFiguresOf(key);
         const others = chain.filter(stage => stage !== probed);
         const explained = others.reduce(
             (sum, { state, range }) => sum + this.costs.stageInterval(state, range, input.now, usual),
             this.hopDelays(chain, input.activationBytes).total,
         );
-        return (observed - explained) / this.costs.promisedInterval(probed.state, probed.range);
+        return (observed - explained) / this.costs.nominalInterval(probed.state, probed.range);
     }
 
     private hopDelays(chain: readonly Candidate[], bytes: number) {
@@ -99,7 +101,7 @@
             if (chain.length === 1) {
                 return;
             }
-            // The last stage returns the token to the head, which carries no activations.
+            // The last stage returns the token to the head; this hop carries no activations.
             const isLast = index === chain.length - 1;
             const to = isLast ? chain[0]! : chain[index + 1]!;
             sum += this.costs.hopDelay(from.state.target, to.state.target, isLast ? 0 : bytes);
@@ -117,7 +119,7 @@
 
 function correct(parts: readonly Part[], error: number, now: number): void {
     const sum = total(parts);
-    for (const { factor, promised, predicted } of parts) {
+    for (const { factor, nominal: promised, predicted } of parts) {
         const corrected = predicted + factor.rate * error * (predicted / sum);
         factor.set(corrected / promised, now);
     }
--- a/packages/policy/src/lib/routing/LearnedFactor.ts
+++ b/packages/policy/src/lib/routing/LearnedFactor.ts
@@ -1,11 +1,13 @@
-/** The weights of the first observation, of which part may be another stage's fault, and of one after many. */
+/** Learning rate of the first observation; below 1, since another stage may have caused part of the error. */
 const firstRate = 0.4;
+/** Learning rate after many observations. */
 const settledRate = 0.1;
+/** Lower limit of the factor. */
 const lowestFactor = 0.05;
 
 /**
- * How slow a target is against what its accelerator promises: 1 means as promised, 10 a tenth of the speed. It returns
- * to the usual figure while nothing is observed, so that a target left alone for being slow is tried again.
+ * How slow a target is relative to the nominal speed of its accelerator: 1 is nominal, 10 is a tenth of the speed. It
+ * decays to the peers' median without observations, so that a target avoided as slow is tried again.
  *
  * @internal
  */
@@ -14,35 +16,39 @@
     private observedAt = 0;
     private count = 0;
 
-    /** @param halfLife - Milliseconds without observations in which half the difference from the usual is forgotten. */
+    /** @param halfLife - Half-life of the difference from the peers' median without observations, in milliseconds. */
     constructor(private readonly halfLife: number) {}
 
     get samples(): number {
         return this.count;
     }
 
-    /** The factor as last learned, without forgetting. */
+    /** The factor as last learned, without decay. */
     get value(): number {
         return this.learned;
     }
 
-    /** The rate at which the next observation should be taken in. */
+    /** The learning rate for the next observation. */
     get rate(): number {
         return Math.max(settledRate, firstRate / (this.count + 1));
     }
 
-    /** When the last observation was made, on the clock. */
+    /** Clock time of the last observation, in milliseconds. */
     get lastObserved(): number {
         return this.observedAt;
     }
 
-    /** The factor to reckon with now. */
+    /**
+     * Returns the factor after decay.
+     *
+     * @param usual - The peers' median, to which the factor decays.
+     */
     current(now: number, usual: number): number {
         if (this.count === 0) {
             return usual;
         }
-        const kept = 2 ** -((now - this.observedAt) / this.halfLife);
-        return usual + (this.learned - usual) * kept;
+        const remaining = 2 ** -((now - this.observedAt) / this.halfLife);
+        return usual + (this.learned - usual) * remaining;
     }
 
     set(value: number, now: number): void {
@@ -51,7 +57,7 @@
         this.count++;
     }
 
-    /** Forgets everything. */
+    /** Discards all observations. */
     reset(): void {
         this.learned = 1;
         this.count = 0;
--- a/packages/policy/src/lib/routing/PrefixIndex.test.ts
+++ b/packages/policy/src/lib/routing/PrefixIndex.test.ts
@@ -23,7 +23,7 @@
 
 const prompt = (name: string, blocks: number) => Array.from({ length: blocks }, (_, block) => `${name}.${block}`);
 
-test("the longest known prefix counts, for each target its own", () => {
+test("each target matches the longest prefix recorded for it", () => {
     const { index, state } = setUp(100);
     const [one, two] = [state("one"), state("two")];
     index.stored([one], prompt("a", 10));
@@ -33,7 +33,7 @@
     assert.equal(found.get(two), 4);
 });
 
-test("the index stays within its bound and forgets the prompt longest unused", () => {
+test("the index stays within its capacity and evicts the least recently used prompt", () => {
     const { index, state } = setUp(20);
     const one = state("one");
     index.stored([one], prompt("old", 10));
@@ -44,7 +44,7 @@
     assert.equal(index.match(prompt("kept", 10)).get(one), 10);
 });
 
-test("trust fades with time and with lost events", () => {
+test("trust decays with time and with lost cache events", () => {
     const { clock, index, state } = setUp(100);
     const one = state("one");
     index.stored([one], prompt("a", 10));
@@ -54,47 +54,47 @@
     assert.ok(index.match(prompt("a", 10)).get(one)! < 2);
 });
 
-test("a miss where a hit was expected costs trust that storing the prompt again does not restore, a hit does", () => {
+test("an unexpected miss lowers the trust; storing the prompt again does not restore it, but a hit does", () => {
     const { index, state } = setUp(100);
     const one = state("one");
     const trusts = ["miss", "miss", "miss", "hit", "hit"].map(answer => {
         const expected = index.match(prompt("a", 20)).get(one) ?? 0;
         index.stored([one], prompt("a", 20));
-        index.judge([one], prompt("a", 20), { expected, seen: answer === "hit" ? 20 : 0 });
+        index.updateTrust([one], prompt("a", 20), { expected, seen: answer === "hit" ? 20 : 0 });
         return index.match(prompt("a", 20)).get(one)! / 20;
     });
-    // Nothing was expected of the first answer, so it proves nothing.
+    // No blocks were expected for the first response, so its miss does not lower the trust.
     assert.deepEqual(trusts, [1, 0.75, 0.5625, 0.671875, 0.75390625]);
     assert.equal(index.size, 20);
 });
 
-test("a partial hit is told from a miss, within the error of its place", () => {
+test("a partial hit is distinguished from a miss, within the error of the reported depth", () => {
     const { index, state } = setUp(100);
     const one = state("one");
     index.stored([one], prompt("a", 20));
-    index.judge([one], prompt("a", 20), { expected: 20, seen: 16 });
+    index.updateTrust([one], prompt("a", 20), { expected: 20, seen: 16 });
     assert.equal(index.match(prompt("a", 20)).get(one), 20);
     for (let miss = 0; miss < 3; miss++) {
-        index.judge([one], prompt("a", 20), { expected: 20, seen: 8 });
+        index.updateTrust([one], prompt("a", 20), { expected: 20, seen: 8 });
     }
-    // The end of the hit may be off by a quarter and a block: up to there nothing is proved, and behind it three misses.
+    // The depth of the hit may be off by a quarter and a block; only blocks beyond that count as three misses.
     assert.equal(index.match(prompt("a", 11)).get(one), 11);
     assert.equal(index.match(prompt("a", 20)).get(one), 11);
     assert.equal(index.match(["a.11"]).get(one), 0.75 ** 3);
 });
 
-test("the stages of a chain share the blame for a miss, and each is cleared by hits elsewhere", () => {
+test("a miss is divided among the stages of a chain, and a hit on another chain restores a stage's trust", () => {
     const { index, state } = setUp(100);
     const [one, two] = [state("one"), state("two")];
     index.stored([one, two], prompt("a", 10));
-    index.judge([one, two], prompt("a", 10), { expected: 10, seen: 0 });
+    index.updateTrust([one, two], prompt("a", 10), { expected: 10, seen: 0 });
     const share = index.match(prompt("a", 10)).get(one)! / 10;
     assert.ok(Math.abs(share - Math.sqrt(0.75)) < 1e-9, `${share}`);
-    index.judge([one], prompt("a", 10), { expected: 10, seen: 10 });
+    index.updateTrust([one], prompt("a", 10), { expected: 10, seen: 10 });
     assert.ok(index.match(prompt("a", 10)).get(one)! > index.match(prompt("a", 10)).get(two)!);
 });
 
-test("reported evictions shorten the trust, and another generation ends it", () => {
+test("reported evictions lower the trust, and a new cache generation resets it", () => {
     const { clock, index, state } = setUp(100);
     const one = state("one");
     const load = { target: "one", running: 0, queued: 0, slots: 1, tokenInterval: 0, firstTokenEstimate: 0 };
@@ -104,17 +104,17 @@
     index.stored([one], prompt("a", 10));
     clock.advance(1000);
     const left = index.match(prompt("a", 10)).get(one)!;
-    // The half-life of 1000 ms, and half of the way to the least after the time in which the whole cache is replaced.
+    // The half-life of 1000 ms, and half of the range above the minimum after the whole cache has been replaced once.
     assert.ok(Math.abs(left - 10 * 0.5 * 0.75) < 1e-9, `${left}`);
     clock.advance(1000);
     const later = index.match(prompt("a", 10)).get(one)!;
     assert.ok(Math.abs(later - 10 * 0.25 * (0.5 + 0.5 / 16)) < 1e-9, `${later}`);
-    index.judge([one], prompt("a", 10), { expected: 10, seen: 0 });
-    index.judge([one], prompt("a", 10), { expected: 10, seen: 0 });
-    index.judge([one], prompt("a", 10), { expected: 10, seen: 0 });
-    // Now the answers say less than the evictions, and alone count.
+    index.updateTrust([one], prompt("a", 10), { expected: 10, seen: 0 });
+    index.updateTrust([one], prompt("a", 10), { expected: 10, seen: 0 });
+    index.updateTrust([one], prompt("a", 10), { expected: 10, seen: 0 });
+    // The trust from responses is now lower than that from evictions, so only the former is applied.
     assert.ok(Math.abs(index.match(prompt("a", 10)).get(one)! - 10 * 0.25 * 0.75 ** 3) < 1e-9);
-    // A lower number than before comes from an agent that has started again.
+    // A lower generation than before is reported by an agent that was restarted.
     report(0, 0);
     assert.equal(index.match(prompt("a", 10)).size, 0);
     index.stored([one], prompt("a", 10));
--- a/packages/policy/src/lib/routing/PrefixIndex.ts
+++ b/packages/policy/src/lib/routing/PrefixIndex.ts
@@ -1,46 +1,47 @@
 import { type CompleteRouterOptions } from "./RouterOptions.js";
 import { type TargetState } from "./TargetState.js";
 
-/** Targets remembered for each block. */
+/** Maximum number of targets recorded for each block. */
 const maxHolders = 16;
-/** What remains of the trust in a block each time that events of its target were lost after it was stored. */
+/** Factor applied to the trust in a block for each gap in its target's cache events since it was stored. */
 const trustAfterGap = 0.98;
 /**
- * What remains of it however much the target evicts. The blocks that others use stay longest, which the share of evictions
- * does not tell; below this the answers decide.
+ * Lower limit of the estimated survival of a block under evictions. Blocks in use by others survive longest, which the
+ * eviction rate does not show; below this limit the trust learned from responses decides.
  */
-const leastSpared = 0.5;
-/** How much of the trust in a block rests on the last answer that tells whether it was there. */
+const minSurvival = 0.5;
+/** Weight of the latest response in the moving average of a block's trust. */
 const answerWeight = 0.25;
-/** Below this trust a block counts as absent, so that not even a tie is decided by it. */
-const leastTrust = 0.1;
-/** Blocks by which the place where a hit ends may be off: a part of its depth, and a part of one block. */
+/** Below this trust a block counts as absent, so that it does not even decide a tie. */
+const minTrust = 0.1;
+/** Error of the reported depth of a hit: a share of the depth, plus a number of blocks. */
 const depthError = 0.25;
 const blockError = 1;
 
 interface Holder {
     readonly state: TargetState;
+    /** The target's cache generation when the block was stored. */
     readonly generation: number;
     readonly storedAt: number;
-    /** The target's count of gaps at that time. */
+    /** The target's count of event gaps when the block was stored. */
     readonly gaps: number;
-    /** What answers have shown of this block on this target, from 0 (never there) to 1. */
+    /** Share of responses that found this block cached on this target, as a moving average from 0 to 1. */
     readonly trust: number;
 }
 
 /**
- * How many leading blocks of a prompt were thought to be on all stages of a chain, and how many were.
+ * The number of leading blocks of a prompt expected to be cached on all stages of a chain, and the number that was.
  *
  * @internal
  */
-export interface CacheSighting {
+export interface CacheObservation {
     readonly expected: number;
     readonly seen: number;
 }
 
 /**
- * Remembers which targets hold which cache blocks, from own requests and from cache events. The blocks longest unused
- * are forgotten first.
+ * Records which targets hold which cache blocks, from this entry's requests and from cache events. The least recently
+ * used blocks are evicted first.
  *
  * @internal
  */
@@ -53,14 +54,14 @@
         return this.blocks.size;
     }
 
-    /** Some targets have cached a prompt's blocks. */
+    /** Records that targets have cached a prompt's blocks. */
     stored(states: readonly TargetState[], blocks: readonly string[]): void {
         const storedAt = this.options.clock.now();
         const added = states.map((state): Holder => {
             const { cacheGeneration: generation, cacheGaps: gaps } = state;
             return { state, generation, storedAt, gaps, trust: 1 };
         });
-        // The end of a prompt first, so that it is also forgotten first: a block is worthless without those before it.
+        // The end of a prompt is added first and so evicted first: a block is useless without those before it.
         for (let place = blocks.length - 1; place >= 0; place--) {
             this.addHolders(blocks[place]!, added);
         }
@@ -68,12 +69,12 @@
     }
 
     /**
-     * Corrects the trust in a prompt's blocks by an answer. A hit is true of every stage; a miss may be the fault of any
-     * one, so each takes a part of it. The blocks stay known even after a miss: the answer has just computed them anew,
-     * but whether they will be found there next time is as doubtful as it was this time.
+     * Updates the trust in a prompt's blocks from a response. A hit applies to every stage; a miss may be caused by any
+     * one of them, so it is divided among them. The blocks stay recorded after a miss, since the request has just
+     * recomputed them, but the chance that the next request finds them cached is no higher than it was for this one.
      */
-    judge(states: readonly TargetState[], blocks: readonly string[], { expected, seen }: CacheSighting): void {
-        // That nothing was there is exact; only the place where a hit ends is not.
+    updateTrust(states: readonly TargetState[], blocks: readonly string[], { expected, seen }: CacheObservation): void {
+        // A complete miss is reported exactly; only the depth of a hit is subject to error.
         const missedFrom = seen === 0 ? 0 : seen * (1 + depthError) + blockError;
         const isMiss = expected > missedFrom;
         const missWeight = 1 - (1 - answerWeight) ** (1 / states.length);
@@ -115,8 +116,8 @@
     }
 
     /**
-     * Estimates how many leading blocks of a prompt each target holds. An estimate is lower than what was seen when
-     * that was long ago or events were lost since.
+     * Estimates how many leading blocks of a prompt each target has cached. The estimate decreases with the age of the
+     * record and with lost events.
      *
      * @param prefix - Hashes of the prompt's blocks, each over the whole prefix up to its end.
      */
@@ -132,20 +133,20 @@
 
     private matchHolder(holder: Holder, depth: number, found: Map<TargetState, number>): void {
         const { state } = holder;
-        if (holder.trust < leastTrust || holder.generation !== state.cacheGeneration) {
+        if (holder.trust < minTrust || holder.generation !== state.cacheGeneration) {
             return;
         }
         const age = this.options.clock.now() - holder.storedAt;
-        const kept = 2 ** -(age / this.options.cacheHalfLife);
-        // Blocks longest unused go first, so nearly all stay until the whole cache has been replaced, and few after.
-        const spared = leastSpared + (1 - leastSpared) * 2 ** -((age * state.evictionRate) ** 2);
-        // Answers and evictions tell of the same thing, so the worse counts, and not both.
-        const trust = Math.min(holder.trust, spared) * kept * trustAfterGap ** (state.cacheGaps - holder.gaps);
-        // Fewer blocks that are surely there can be worth more than many that are doubtful.
+        const fresh = 2 ** -(age / this.options.cacheHalfLife);
+        // With eviction in LRU order nearly all blocks survive until the whole cache has been replaced, and few after.
+        const survival = minSurvival + (1 - minSurvival) * 2 ** -((age * state.evictionRate) ** 2);
+        // Responses and the eviction rate show the same effect, so only the lower value is applied.
+        const trust = Math.min(holder.trust, survival) * fresh * trustAfterGap ** (state.cacheGaps - holder.gaps);
+        // A few blocks with high trust can be worth more than many with low trust.
         found.set(state, Math.max(found.get(state) ?? 0, depth * trust));
     }
 
-    /** The number of leading blocks that are known at all; if a block is known, those before it are. */
+    /** Finds the number of recorded leading blocks by binary search: if a block is recorded, so are those before it. */
     private deepestKnown(prefix: readonly string[]): number {
         let known = 0;
         let unknown = prefix.length + 1;
@@ -164,7 +165,7 @@
     private addHolders(block: string, added: readonly Holder[]): void {
         const holders = this.blocks.get(block) ?? [];
         added.forEach(holder => addHolder(holders, holder));
-        // Deleting first moves the block to the end of the map, which is the order of use.
+        // Deleting it first moves the block to the end of the map, which is ordered by last use.
         this.blocks.delete(block);
         this.blocks.set(block, holders);
     }
@@ -194,7 +195,7 @@
     }
 }
 
-/** The place of the holder that stored longest ago. */
+/** Returns the index of the holder that stored the block longest ago. */
 function oldest(holders: readonly Holder[]): number {
     let found = 0;
     holders.forEach((holder, place) => {
--- a/packages/policy/src/lib/routing/RangeGroup.ts
+++ b/packages/policy/src/lib/routing/RangeGroup.ts
@@ -1,7 +1,7 @@
 import { type CompleteRouterOptions } from "./RouterOptions.js";
 import { type TargetState } from "./TargetState.js";
 
-/** How far a target is from this entry. */
+/** Distance of a target from this entry, nearest first. */
 const tiers = ["dataCentre", "region", "elsewhere"] as const;
 
 interface Member {
@@ -11,24 +11,25 @@
 }
 
 /**
- * The targets that hold one layer range of a model version, and the subset of them that this entry uses: a quota from
- * its own data centre, one from its region and the rest from elsewhere, each filled in the order of rendezvous scores.
+ * The targets that hold one layer range of a model version, and the subset of them that this entry uses. The subset has
+ * a quota for the entry's data centre, one for the rest of its region and one for other regions, each filled in order
+ * of rendezvous score.
  *
  * @internal
  */
 export class RangeGroup {
-    /** Members in use now, near ones first. Those out of use have been replaced by the next in order. */
+    /** Usable members of the subset, nearest first. Unusable members are replaced by the next in order. */
     active: readonly TargetState[] = [];
-    /** How many of the active members are in the nearest tier that has any. */
+    /** The number of active members in the nearest tier that has any. */
     near = 0;
-    /** Members of the subset while all are well; these are probed when they are out of use. */
-    chosen: readonly TargetState[] = [];
+    /** The subset when all members are usable; its members are probed while they are unusable. */
+    subset: readonly TargetState[] = [];
     private readonly members: Member[] = [];
     private stale = true;
 
     /**
      * @param first - The first layer of the range.
-     * @param last - The last layer, included.
+     * @param last - The last layer of the range, inclusive.
      */
     constructor(readonly first: number, readonly last: number, private readonly options: CompleteRouterOptions) {}
 
@@ -38,14 +39,14 @@
         this.members.push({ state, tier, score });
     }
 
-    /** Sorts the members and chooses the subset. To be called once, after the last member was added. */
+    /** Sorts the members and selects the subset. Must be called once, after the last member was added. */
     complete(): void {
         this.members.sort((a, b) => a.tier - b.tier || b.score - a.score);
-        this.chosen = this.select(this.members).map(member => member.state);
+        this.subset = this.select(this.members).map(member => member.state);
         this.stale = true;
     }
 
-    /** Some member came into use or went out of it. */
+    /** Marks {@link RangeGroup.active} as outdated after a member became usable or unusable. */
     invalidate(): void {
         this.stale = true;
     }
@@ -73,7 +74,7 @@
             const inTier = members.filter(member => member.tier === tier);
             inTier.slice(0, Math.round(quotas[tier]!)).forEach(member => picked.add(member));
         });
-        // Tiers with too few members leave room, which near ones fill first.
+        // Quotas that a tier cannot fill go to the other tiers, nearest first.
         for (const member of members) {
             if (picked.size >= subsetSize) {
                 break;
--- a/packages/policy/src/lib/routing/RequestPlanner.ts
+++ b/packages/policy/src/lib/routing/RequestPlanner.ts
@@ -6,11 +6,11 @@
 import { type TargetState } from "./TargetState.js";
 import { type TargetTable } from "./TargetTable.js";
 
-/** A fleet that is nearly idle has no load to speak of; prefixes are bounded as if this were its mean. */
+/** Lower limit of the mean load in the bound on prefix affinity; in a nearly idle fleet the mean is near 0. */
 const lowestMeanLoad = 0.25;
 
 /**
- * What one request needs of the planner.
+ * The properties of a request that planning depends on.
  *
  * @internal
  */
@@ -25,8 +25,8 @@
 }
 
 /**
- * Finds the chain for one request: draws a few targets of each layer range, adds those that hold its prefix, and takes
- * the cheapest chain of them.
+ * Finds the chain for a request: samples a few targets of each layer range, adds those that have its prefix cached, and
+ * selects the cheapest chain.
  *
  * @internal
  */
@@ -38,7 +38,7 @@
         private readonly sampler: CandidateSampler,
     ) {}
 
-    /** The targets that a request may use of one layer range. */
+    /** Returns the candidate targets of a layer range for a request. */
     draw(range: RangeGroup, request: PlanRequest, probe: TargetState | undefined): TargetState[] {
         if (range.first === 0 && request.head !== undefined) {
             const head = this.table.get(request.head);
@@ -52,8 +52,9 @@
     }
 
     /**
-     * The cheapest of up to three plans: one that takes every cached prefix into account, one of holders of the prefix
-     * where there are any, and one that ignores it. A prefix helps only as far as every stage holds it.
+     * Returns the cheapest of up to three chains: one planned without prefix caches, one that also considers the
+     * holders of the prefix, and one that uses only holders where there are any. Only blocks cached on every stage save
+     * work.
      */
     bestChain(
         request: PlanRequest,
@@ -84,7 +85,7 @@
         return best;
     }
 
-    /** Holders of the prefix that are not far busier than their peers. */
+    /** Returns holders of the prefix whose load is not far above the peers' mean. */
     private holders(
         range: RangeGroup,
         request: PlanRequest,
@@ -97,7 +98,7 @@
         if (range.first === 0 && request.head !== undefined) {
             return [];
         }
-        const usual = this.costs.usualOf(request.key);
+        const usual = this.costs.peerFiguresOf(request.key);
         const bound = Math.max(usual.load, lowestMeanLoad) * this.options.affinityBound;
         return [...input.matches.keys()].filter(state =>
             range.active.includes(state)
@@ -112,7 +113,7 @@
         input: CostInput,
         usesCache: boolean,
     ): readonly Candidate[] | undefined {
-        const usual = this.costs.usualOf(request.key);
+        const usual = this.costs.peerFiguresOf(request.key);
         const candidates = request.ranges.flatMap((range, index) =>
             drawn[index]!.map((state): Candidate => {
                 const cached = usesCache ? input.matches.get(state) ?? 0 : 0;
@@ -122,9 +123,9 @@
         return planChain(candidates, request.layers, request.activationBytes, this.costs);
     }
 
-    /** The cost of a whole chain with the prefix that all its stages hold. */
+    /** Returns the cost of a whole chain, given the leading blocks that are cached on all its stages. */
     private chainCost(request: PlanRequest, chain: readonly Candidate[], input: CostInput): number {
-        const usual = this.costs.usualOf(request.key);
+        const usual = this.costs.peerFiguresOf(request.key);
         const cached = cachedBlocks(chain, input.matches);
         let cost = this.costs.entryCost(chain[0]!.state.target);
         chain.forEach(({ state, range }, index) => {
@@ -137,12 +138,12 @@
         return cost;
     }
 
-    /** A chain that may use targets ejected for being slow or failing, when there is no other. */
+    /** Returns a chain that may include ejected (slow or failing) targets, for use when there is no other. */
     lastResort(request: PlanRequest, input: CostInput): readonly Candidate[] | undefined {
         const drawn = request.ranges.map(range =>
             range.first === 0 && request.head !== undefined
                 ? this.draw(range, request, undefined)
-                : range.chosen.filter(state =>
+                : range.subset.filter(state =>
                     !state.isLeaving && state.health.state !== "unreachable" && !request.exclude.has(state.name)
                 )
         );
@@ -151,7 +152,7 @@
 }
 
 /**
- * The number of leading blocks that every stage of a chain is thought to hold.
+ * Returns the estimated number of leading blocks that are cached on every stage of a chain.
  *
  * @internal
  */
--- a/packages/policy/src/lib/routing/Router.ts
+++ b/packages/policy/src/lib/routing/Router.ts
@@ -2,7 +2,7 @@
 import { type Outcome } from "@waxwingspar/utils";
 
 /**
- * What the router knows about a target from the configuration.
+ * A target as the configuration describes it.
  *
  * @public
  */
@@ -12,26 +12,26 @@
     readonly port: number;
     readonly dataCentre: string;
     readonly region: string;
-    /** Speed of the accelerator against the slowest kind, which is 1. */
+    /** Speed of the accelerator relative to the slowest kind, which is 1. */
     readonly speed: number;
-    /** Bandwidth of its link in bytes per second. */
+    /** Bandwidth of the target's link, in bytes per second. */
     readonly bandwidth: number;
-    /** One-way latency of its link in milliseconds. */
+    /** One-way latency of the target's link, in milliseconds. */
     readonly latency: number;
     readonly slots: number;
-    /** Layer ranges that are loaded and may serve. */
+    /** Layer ranges that are loaded and ready to serve. */
     readonly holds: readonly {
         readonly model: string;
         readonly version: string;
         readonly first: number;
         readonly last: number;
     }[];
-    /** The plain service that runs here, if any. */
+    /** The plain service that runs on the target, if any. */
     readonly service?: string;
 }
 
 /**
- * A model request that needs a chain of targets.
+ * A model request to be routed to a chain of targets.
  *
  * @public
  */
@@ -40,67 +40,73 @@
     readonly version: string;
     /** The number of layers of the model. */
     readonly layers: number;
-    /** Bytes of activations of one position. */
+    /** Size of the activations of one position, in bytes. */
     readonly activationBytes: number;
-    /** Hashes of the prompt's blocks, each over the whole prefix up to its end. */
+    /** Hashes of the prompt's blocks, each computed over the whole prefix up to the block's end. */
     readonly prefix: readonly string[];
-    /** Targets that this request must not use, such as those that failed it. */
+    /** Targets that must not be used, such as those on which an earlier attempt failed. */
     readonly exclude: ReadonlySet<string>;
-    /** The head that the request must use, when a claim binds it to one. */
+    /** The head that the request must use, if a claim binds it to one. */
     readonly head?: string;
 }
 
 /**
- * How an attempt ended, as the router needs to know it.
+ * The result of an attempt.
  *
  * @public
  */
 export type AttemptEnd = "completed" | "refused" | "failed" | "cancelled";
 
 /**
- * An attempt in progress. The caller reports what it sees, which feeds the router's own load and latency figures.
+ * An attempt in progress. The caller's observations update the router's load and latency estimates.
  *
  * @public
  */
 export interface RoutedAttempt {
     readonly stages: readonly Stage[];
-    /** The first token came, so many milliseconds after the attempt was sent. */
+    /** Reports the first token, and the milliseconds since the attempt was sent. */
     firstToken(latency: number): void;
-    /** A later token came, so many milliseconds after the one before. */
+    /** Reports a later token, and the milliseconds since the previous one. */
     token(interval: number): void;
     /**
-     * How much of the prompt came from the prefix cache of every stage, which corrects what is believed of them. To be
-     * called before the end, and only when no KV cache was taken over from another attempt.
+     * Reports how much of the prompt was served from the prefix caches of all stages, which corrects the router's cache
+     * estimates. Must be called before {@link RoutedAttempt.end}, and only if no KV cache was transferred from another
+     * attempt.
      *
-     * @param blocks - Leading blocks of the request's prefix; not exact, see docs/design/cache-feedback.md.
+     * @param blocks - Number of leading blocks of the request's prefix, an estimate; see docs/design/cache-feedback.md.
      */
     cached?(blocks: number): void;
     /**
-     * The attempt ended. Later calls do nothing.
+     * Reports the end of the attempt. Later calls have no effect.
      *
-     * @param target - The target at fault, when one is known.
+     * @param target - The target at fault, if known.
      */
     end(result: AttemptEnd, target?: string): void;
 }
 
 /**
- * Chooses the chain of targets for each request, from the configuration, load reports and its own traffic.
+ * Chooses the chain of targets for each request, from the configuration, load reports and observations of its own
+ * requests.
  *
  * @public
  */
 export interface Router {
-    /** Replaces what is known from the configuration. Learned figures of targets that stay are kept. */
+    /** Replaces the configured targets. Learned estimates of the remaining targets are kept. */
     update(targets: readonly RoutingTarget[]): void;
-    /** @returns An attempt; `noCapacity` when no chain covers the layers, `overloaded` when all would miss the bound. */
+    /**
+     * Chooses a chain for a model request.
+     *
+     * @returns An attempt, `noCapacity` when no chain covers the layers, or `overloaded` when all would miss the bound.
+     */
     choose(request: RouteRequest): Outcome<RoutedAttempt>;
-    /** Chooses one target of a plain service. */
+    /** Chooses a target of a plain service. */
     chooseService(service: string, exclude: ReadonlySet<string>): Outcome<RoutedAttempt>;
-    /** Takes a load report, which may be late. A leaving target gets no new work from then on. */
+    /** Processes a load report, which may be delayed. A target that reports that it is leaving gets no new work. */
     report(load: LoadReport): void;
-    /** The connection to a target could not be opened or was lost. */
+    /** Records that the connection to a target could not be opened or was lost. */
     unreachable(target: string): void;
-    /** The live list says that a target is leaving or back. It cannot take back what the target says of itself. */
+    /** Records from the live list whether a target is leaving. It does not override the target's own leaving report. */
     setLeaving(target: string, leaving: boolean): void;
-    /** Cache events of a target, late and with gaps. */
+    /** Processes a cache event of a target. Events may be delayed or lost; `gap` reports a loss. */
     cacheEvent(target: string, kind: "stored" | "evicted" | "cleared" | "gap", blocks: readonly string[]): void;
 }
--- a/packages/policy/src/lib/routing/TargetState.ts
+++ b/packages/policy/src/lib/routing/TargetState.ts
@@ -3,37 +3,41 @@
 import { LearnedFactor } from "./LearnedFactor.js";
 import { type RoutingTarget } from "./Router.js";
 
-/** Milliseconds in which half of a learned factor is forgotten while nothing is observed. */
+/** Half-life of a learned factor without observations, in milliseconds. */
 const factorHalfLife = 10_000;
-/** Milliseconds in which half the effect of a refusal is forgotten. */
+/** Half-life of the effect of a refusal, in milliseconds. */
 const refusalHalfLife = 300;
+/** Milliseconds in a minute. */
 const minute = 60_000;
 
 /**
- * What the router keeps of one target.
+ * The router's state of one target.
  *
  * @internal
  */
 export class TargetState {
-    /** Own attempts in progress that use the target. */
+    /** Number of this entry's attempts in progress that use the target. */
     inFlight = 0;
-    /** Cache blocks of own attempts whose first token is still to come. */
+    /** Prefill blocks of this entry's attempts that have not produced their first token. */
     pendingBlocks = 0;
-    /** The live list says that the target leaves. */
+    /** True while the live list marks the target as leaving. */
     listedAsLeaving = false;
-    /** The target itself says so, which the late list cannot take back; only another start of it can. */
-    saysLeaving = false;
-    /** Grows when the target's cache is cleared; remembered blocks of an older generation are worthless. */
+    /**
+     * True once the target itself reported that it is leaving. The loss of its connection, as on a restart, resets it;
+     * the delayed live list does not.
+     */
+    reportedAsLeaving = false;
+    /** Incremented when the target's cache is cleared, which invalidates the blocks recorded before. */
     cacheGeneration = 0;
-    /** How many times cache events were lost; each time some remembered blocks may have been evicted unseen. */
+    /** Number of gaps in the cache events; in each, recorded blocks may have been evicted without notice. */
     cacheGaps = 0;
-    /** The share of the target's blocks that are evicted in a millisecond, as the target last reported it. */
+    /** The share of the target's cache blocks evicted per millisecond, as last reported. */
     evictionRate = 0;
-    /** Time between tokens against the accelerator's promise. */
+    /** Time between tokens relative to the accelerator's nominal speed. */
     readonly intervalFactor = new LearnedFactor(factorHalfLife);
-    /** Time to the first token against the accelerator's promise. */
+    /** Time to first token relative to the accelerator's nominal speed. */
     readonly prefillFactor = new LearnedFactor(factorHalfLife);
-    private othersPerSlot: number | undefined;
+    private otherLoadPerSlot: number | undefined;
     private reportedAt = 0;
     private reportedFirstToken = 0;
     private refusedAt = -Infinity;
@@ -46,24 +50,24 @@
     }
 
     get isLeaving(): boolean {
-        return this.listedAsLeaving || this.saysLeaving;
+        return this.listedAsLeaving || this.reportedAsLeaving;
     }
 
-    /** The part of the last reported load that is not this entry's, for each slot; undefined before any report. */
-    get reportedOthers(): number | undefined {
-        return this.othersPerSlot;
+    /** Averaged reported load per slot that does not come from this entry; undefined before the first report. */
+    get reportedOtherLoad(): number | undefined {
+        return this.otherLoadPerSlot;
     }
 
     /**
-     * Takes in a report. Only the slow part of a load is worth following: by the time a report is here the quick part is
-     * gone, and a fleet that chases it swings.
+     * Processes a load report. The load is averaged, since short-term changes are over by the time a report arrives,
+     * and a fleet that reacts to them oscillates.
      *
-     * @param memory - The time constant of the average over reports, in milliseconds.
+     * @param memory - Time constant of the average over reports, in milliseconds.
      */
     report(load: LoadReport, now: number, memory: number): void {
         const others = Math.max(0, load.running + load.queued - this.inFlight) / Math.max(1, load.slots);
-        const before = this.othersPerSlot ?? others;
-        this.othersPerSlot = before + (others - before) * (1 - Math.exp(-(now - this.reportedAt) / memory));
+        const before = this.otherLoadPerSlot ?? others;
+        this.otherLoadPerSlot = before + (others - before) * (1 - Math.exp(-(now - this.reportedAt) / memory));
         this.reportedFirstToken = load.firstTokenEstimate;
         this.reportedAt = now;
         this.reportCache(load);
@@ -76,7 +80,7 @@
         if (cacheGeneration === undefined || cacheGeneration === this.reportedGeneration) {
             return;
         }
-        // Reports of one agent arrive in their order, so a number that differs is a newer one, also if it is lower.
+        // Reports of one agent arrive in order, so a different number is a newer one even if it is lower.
         if (this.reportedGeneration !== undefined) {
             this.cacheGeneration++;
         }
@@ -87,31 +91,32 @@
         this.refusedAt = now;
     }
 
-    /** True while the target takes new work as far as is known. */
+    /** True while the target is healthy and not leaving, so that it accepts new work. */
     isUsable(): boolean {
         return !this.isLeaving && this.health.isUsable();
     }
 
     /**
-     * The load of each slot that the target may fill if it gets one more request. Own attempts count exactly; those of
-     * other entries come from the last report and fade into the peers' mean, so that a late report draws no herd.
+     * Returns the expected load per usable slot with one more request. This entry's attempts are counted exactly. The
+     * load from other entries is taken from the reports and decays to the peers' mean with age, so that an outdated
+     * report of an idle target does not attract a burst of requests from all entries.
      *
-     * @param usualOthers - The peers' mean of {@link TargetState.reportedOthers}.
-     * @param trust - How much of a report's difference from that mean counts when it is fresh, from 0 to 1.
+     * @param meanOtherLoad - The peers' mean of {@link TargetState.reportedOtherLoad}.
+     * @param trust - Weight of a fresh report's difference from that mean, from 0 to 1.
      */
-    load(now: number, usualOthers: number, reportHalfLife: number, trust: number): number {
-        const kept = trust * 2 ** -((now - this.reportedAt) / reportHalfLife);
-        const others = usualOthers + ((this.othersPerSlot ?? usualOthers) - usualOthers) * kept;
+    load(now: number, meanOtherLoad: number, reportHalfLife: number, trust: number): number {
+        const reportWeight = trust * 2 ** -((now - this.reportedAt) / reportHalfLife);
+        const others = meanOtherLoad + ((this.otherLoadPerSlot ?? meanOtherLoad) - meanOtherLoad) * reportWeight;
         return ((this.inFlight + 1) / this.target.slots + others) / this.health.ramp();
     }
 
-    /** From 1 just after a refusal down to 0. */
+    /** Decays from 1 just after a refusal to 0. */
     refusalWeight(now: number): number {
         return 2 ** -((now - this.refusedAt) / refusalHalfLife);
     }
 
-    /** The first-token time that the target predicted, or 0 when that was too long ago to count. */
+    /** Returns the target's last reported estimate of the time to first token, or 0 when it is older than `maxAge`. */
     recentFirstTokenEstimate(now: number, maxAge: number): number {
-        return now - this.reportedAt <= maxAge && this.othersPerSlot !== undefined ? this.reportedFirstToken : 0;
+        return now - this.reportedAt <= maxAge && this.otherLoadPerSlot !== undefined ? this.reportedFirstToken : 0;
     }
 }
--- a/packages/policy/src/lib/routing/TargetTable.ts
+++ b/packages/policy/src/lib/routing/TargetTable.ts
@@ -5,11 +5,11 @@
 import { type CompleteRouterOptions } from "./RouterOptions.js";
 import { TargetState } from "./TargetState.js";
 
-/** A plain service is a model of one layer to the planner. */
+/** The planner treats a plain service as a model with one layer. */
 const serviceLayer = 0;
 
 /**
- * Every target known from the configuration, grouped by what it holds.
+ * All configured targets, grouped by the layer ranges and services that they hold.
  *
  * @internal
  */
@@ -27,17 +27,17 @@
         return this.states.get(name);
     }
 
-    /** The layer ranges of a model version, by first layer. */
+    /** Returns the layer ranges of a model version, ordered by first layer. */
     ranges(model: string, version: string): readonly RangeGroup[] {
         return this.groups.get(modelKey(model, version)) ?? [];
     }
 
-    /** The targets of a plain service, as the only range of a model of one layer. */
+    /** Returns the targets of a plain service, as the only layer range of a model with one layer. */
     service(name: string): readonly RangeGroup[] {
         return this.groups.get(serviceKey(name)) ?? [];
     }
 
-    /** All ranges, by model version or service. */
+    /** Returns the layer ranges of each model version or service. */
     allRanges(): Iterable<readonly RangeGroup[]> {
         return this.groups.values();
     }
@@ -46,7 +46,7 @@
         return this.groupsOf.get(state) ?? [];
     }
 
-    /** A target came into use or went out of it. */
+    /** Invalidates the ranges of a target that became usable or unusable. */
     changed(state: TargetState): void {
         this.rangesOf(state).forEach(range => range.invalidate());
     }
@@ -60,7 +60,7 @@
 
     private stateFor(target: RoutingTarget): TargetState {
         const known = this.states.get(target.name);
-        // Another host under the same name is another target: nothing learned applies to it.
+        // A different host or port under the same name is a different target, so learned estimates do not apply to it.
         if (known !== undefined && known.target.host === target.host && known.target.port === target.port) {
             known.target = target;
             return known;
--- a/packages/policy/src/lib/routing/cacheFeedback.test.ts
+++ b/packages/policy/src/lib/routing/cacheFeedback.test.ts
@@ -45,17 +45,17 @@
     leaving: false,
 };
 
-test("a wrong belief in a cache stops drawing traffic once answers show misses", () => {
+test("a wrong cache estimate stops attracting requests once responses report misses", () => {
     const prefix = Array.from({ length: 40 }, (_, index) => `block-${index}`);
-    /** One request at a time to a fleet that never caches anything. */
-    const mostOnOne = (isTold: boolean): number => {
+    /** Sends one request at a time to a fleet without caches. Returns the highest number of requests on one target. */
+    const mostOnOne = (hasFeedback: boolean): number => {
         const { clock, router } = setUp(10);
         const heads = new Map<string, number>();
         for (let index = 0; index < 60; index++) {
             const attempt = choose(router, prefix);
             heads.set(headOf(attempt), (heads.get(headOf(attempt)) ?? 0) + 1);
             attempt.firstToken(200);
-            if (isTold) {
+            if (hasFeedback) {
                 attempt.cached?.(0);
             }
             attempt.end("completed");
@@ -64,11 +64,11 @@
         return Math.max(...heads.values());
     };
     const [told, untold] = [mostOnOne(true), mostOnOne(false)];
-    assert.ok(untold >= 30, `${untold} of 60 on one target without answers`);
-    assert.ok(told <= 15, `${told} of 60 on one target in spite of the misses`);
+    assert.ok(untold >= 30, `${untold} of 60 on one target without feedback`);
+    assert.ok(told <= 15, `${told} of 60 on one target despite reported misses`);
 });
 
-test("another cache generation in a report ends the pull of a prefix", () => {
+test("a new cache generation in a load report ends prefix affinity", () => {
     const { router } = setUp(10);
     const prefix = Array.from({ length: 40 }, (_, index) => `block-${index}`);
     router.report({ ...report, cacheGeneration: 1 });
@@ -80,16 +80,16 @@
     assert.ok(heads.filter(head => head === "target-7").length <= 2, heads.join(" "));
 });
 
-test("a hit taken for a miss, or a miss for a hit, does not change how fast a target is thought to be", () => {
-    /** The share of 40 other requests that one target of two gets after its cache was believed in wrongly. */
-    const shareAfter = (isTold: boolean): number => {
+test("a miss mistaken for a hit does not change the learned speed of a target once it is reported", () => {
+    /** Returns the share of 20 other requests that one of two targets gets after a wrong estimate of its cache. */
+    const shareAfter = (hasFeedback: boolean): number => {
         const { router } = setUp(2);
         const prefix = Array.from({ length: 40 }, (_, index) => `block-${index}`);
         router.cacheEvent("target-0", "stored", prefix);
         const wrong = choose(router, prefix);
         assert.equal(headOf(wrong), "target-0");
         wrong.firstToken(160);
-        if (isTold) {
+        if (hasFeedback) {
             wrong.cached?.(0);
         }
         wrong.end("completed");
@@ -98,6 +98,6 @@
         return heads.filter(head => head === "target-0").length / heads.length;
     };
     const [told, untold] = [shareAfter(true), shareAfter(false)];
-    assert.ok(untold < 0.4, `${untold} when not told`);
-    assert.ok(told >= 0.4, `${told} when told`);
+    assert.ok(untold < 0.4, `${untold} without feedback`);
+    assert.ok(told >= 0.4, `${told} with feedback`);
 });
--- a/packages/policy/src/lib/routing/createRouter.test.ts
+++ b/packages/policy/src/lib/routing/createRouter.test.ts
@@ -51,7 +51,7 @@
     return attempt.stages[0]!.target;
 }
 
-/** Runs requests one at a time, each with the latencies of its head, and counts the heads. */
+/** Runs requests one at a time, each with the latency of its head. Returns the number of requests by head. */
 function traffic(router: Router, clock: ManualClock, count: number, intervalOf: (head: string) => number) {
     const heads = new Map<string, number>();
     for (let index = 0; index < count; index++) {
@@ -85,12 +85,12 @@
 const whole = (count: number, more: Partial<RoutingTarget> = {}) =>
     Array.from({ length: count }, (_, index) => target(`target-${index}`, 0, 7, more));
 
-test("a chain covers every layer once, in order, without barred targets", () => {
+test("a chain covers every layer once, in order, and without excluded or unavailable targets", () => {
     const range = fc.tuple(fc.integer({ min: 0, max: 7 }), fc.integer({ min: 0, max: 7 }))
         .map(([a, b]) => ({ first: Math.min(a, b), last: Math.max(a, b) }));
     const holder = fc.record({
         ranges: fc.array(range, { minLength: 1, maxLength: 2 }),
-        bar: fc.integer({ min: 0, max: 5 }),
+        restriction: fc.integer({ min: 0, max: 5 }),
     });
     fc.assert(fc.property(fc.array(holder, { minLength: 1, maxLength: 14 }), holders => {
         const targets = holders.map(({ ranges }, index) =>
@@ -100,19 +100,19 @@
         );
         const { router } = setUp(targets);
         const exclude = new Set<string>();
-        holders.forEach(({ bar }, index) => {
+        holders.forEach(({ restriction }, index) => {
             const name = `target-${index}`;
-            if (bar === 0) {
+            if (restriction === 0) {
                 exclude.add(name);
             }
-            else if (bar === 1) {
+            else if (restriction === 1) {
                 router.setLeaving(name, true);
             }
-            else if (bar === 2) {
+            else if (restriction === 2) {
                 router.unreachable(name);
             }
         });
-        const allowed = targets.filter((_, index) => holders[index]!.bar > 2);
+        const allowed = targets.filter((_, index) => holders[index]!.restriction > 2);
         const chosen = router.choose({ ...request, exclude });
         if (chosen.isErr) {
             assert.equal(chosen.error.code, requestCodes.noCapacity);
@@ -131,7 +131,7 @@
     }));
 });
 
-/** Tries every chain; the slow and certain way. */
+/** Checks by exhaustive search whether a chain exists. */
 function isCoverable(targets: readonly RoutingTarget[], layer: number, used: ReadonlySet<string>): boolean {
     return layer === request.layers || targets.some(({ name, holds }) =>
         !used.has(name)
@@ -139,14 +139,14 @@
     );
 }
 
-test("other models and versions are not mixed", () => {
+test("targets of other models and versions are not used", () => {
     const other = [{ model: "assistant", version: "v2", first: 0, last: 7 }];
     const { router } = setUp([target("old", 0, 7), target("new", 0, 7, { holds: other })]);
     assert.equal(headOf(choose(router, { version: "v2" })), "new");
     assert.ok(router.choose({ ...request, model: "catalogue" }).isErr);
 });
 
-test("a bound head is used, or nothing", () => {
+test("a request bound to a head uses that head or fails", () => {
     const { router } = setUp(whole(4));
     for (let index = 0; index < 10; index++) {
         assert.equal(headOf(choose(router, { head: "target-3" })), "target-3");
@@ -164,7 +164,7 @@
     }
 });
 
-test("the late live list does not bring a leaving target back, its next start does", () => {
+test("the delayed live list does not readmit a leaving target, but its restart does", () => {
     const { clock, router } = setUp(whole(2));
     router.report(report("target-0", 0, { leaving: true }));
     router.setLeaving("target-0", false);
@@ -179,7 +179,7 @@
     assert.ok(later.includes("target-0"));
 });
 
-test("a stale report of an idle target draws no herd", () => {
+test("a stale report of an idle target does not attract a burst of requests", () => {
     const { router } = setUp(whole(10));
     for (let index = 0; index < 10; index++) {
         router.report(report(`target-${index}`, index === 0 ? 0 : 12));
@@ -189,7 +189,7 @@
     assert.ok(onIdle > 6 && onIdle <= 16, `${onIdle} of 60 went to the idle target`);
 });
 
-test("work spills over to the region when the own data centre is full", () => {
+test("work spills over to the region when the local data centre is full", () => {
     const far = Array.from({ length: 4 }, (_, index) => target(`far-${index}`, 0, 7, { dataCentre: "dc-2" }));
     const { router } = setUp([...whole(4), ...far], { dataCentreLatency: 30 });
     const heads = Array.from({ length: 80 }, () => headOf(choose(router)));
@@ -209,7 +209,7 @@
     slow = false;
     clock.advance(30_000);
     const after = traffic(router, clock, 400, intervalOf);
-    assert.ok((after.get("target-0") ?? 0) > 20, `${after.get("target-0")} after its return`);
+    assert.ok((after.get("target-0") ?? 0) > 20, `${after.get("target-0")} after its readmission`);
 });
 
 test("failing targets are ejected only up to the cap", () => {
@@ -226,7 +226,7 @@
     assert.equal(used.size, 7);
 });
 
-test("an unreachable target gets one probe at a time, ever less often", () => {
+test("an unreachable target gets one probe at a time, at growing intervals", () => {
     const { clock, router } = setUp(whole(3));
     router.unreachable("target-0");
     const probes: number[] = [];
@@ -248,7 +248,7 @@
     gaps.slice(1).forEach((gap, index) => assert.ok(gap > gaps[index]!, `gaps ${gaps.join(" ")}`));
 });
 
-test("a probe that ends by another stage's fault lets the next one go", () => {
+test("a probe that fails because of another stage does not block the next probe", () => {
     const heads = [target("head-0", 0, 3), target("head-1", 0, 3)];
     const tails = [target("tail-0", 4, 7), target("tail-1", 4, 7)];
     const { clock, router } = setUp([...heads, ...tails]);
@@ -260,7 +260,7 @@
     assert.equal(headOf(choose(router)), "head-0");
 });
 
-test("a target that joins comes up slowly", () => {
+test("a new target is ramped up slowly", () => {
     const { clock, router } = setUp(whole(4), { slowStart: 10_000, slowStartFloor: 0.1, choices: 5 });
     clock.advance(20_000);
     const running = Array.from({ length: 24 }, () => choose(router));
@@ -269,8 +269,8 @@
     clock.advance(10_000);
     const late = Array.from({ length: 10 }, () => headOf(choose(router))).filter(head => head === "target-4").length;
     assert.equal(running.length, 24);
-    assert.ok(early <= 1, `${early} of 10 at once`);
-    assert.ok(late >= 4, `${late} of 10 once it is up`);
+    assert.ok(early <= 1, `${early} of 10 immediately`);
+    assert.ok(late >= 4, `${late} of 10 after the ramp`);
 });
 
 test("a lost data centre is given up after a few of its targets", () => {
@@ -287,10 +287,10 @@
         }
         clock.advance(5);
     }
-    assert.ok(failures <= 4, `${failures} requests found out`);
+    assert.ok(failures <= 4, `${failures} requests failed`);
 });
 
-test("a prompt goes where its prefix is cached, until that target is far busier", () => {
+test("a prompt is sent to the target with its cached prefix, unless that target is far busier", () => {
     const { router } = setUp(whole(10));
     const prefix = Array.from({ length: 40 }, (_, index) => `block-${index}`);
     router.cacheEvent("target-7", "stored", prefix);
@@ -300,7 +300,7 @@
     assert.ok(sticky < 30, `${sticky} of 60 on one target`);
 });
 
-test("evicted, cleared and lost caches draw nothing", () => {
+test("evicted, cleared and lost caches do not attract requests", () => {
     const prefix = Array.from({ length: 40 }, (_, index) => `block-${index}`);
     const forget: ((router: Router) => void)[] = [
         router => router.cacheEvent("target-7", "evicted", prefix),
@@ -316,7 +316,7 @@
     }
 });
 
-test("plain services balance over their targets", () => {
+test("requests of a plain service are balanced over its targets", () => {
     const { router } = setUp(whole(3, { service: "records", holds: [] }));
     const heads = Array.from({ length: 30 }, () => {
         const chosen = router.chooseService("records", new Set(["target-0"]));
@@ -344,7 +344,7 @@
     assert.ok(deviation <= 1.25 * binomial, `deviation ${deviation}, by chance ${binomial}`);
 });
 
-test("chains avoid a slow link between data centres, not the targets behind it", () => {
+test("chains avoid a slow link between data centres, but still use the targets behind it", () => {
     const place = (name: string, first: number, dataCentre: string) => target(name, first, first + 3, { dataCentre });
     const dataCentres = ["dc-1", "dc-2"];
     const targets = dataCentres.flatMap(dataCentre =>
@@ -373,7 +373,7 @@
     assert.ok(behind >= 60, `${behind} of 300 ran behind it`);
 });
 
-test("a fleet far over its bound is refused here, but for a few trials", () => {
+test("requests are refused when all targets are far over the bound, except for a few trials", () => {
     const { clock, router } = setUp(whole(4));
     for (let index = 0; index < 4; index++) {
         router.report(report(`target-${index}`, 16, { firstTokenEstimate: 5000 }));
@@ -383,5 +383,5 @@
     assert.ok(refused.length >= 80 && refused.length < 100, `${refused.length} of 100 refused`);
     assert.ok(refused.every(outcome => outcome.isErr && outcome.error.code === requestCodes.overloaded));
     clock.advance(5000);
-    assert.ok(router.choose(request).isOk, "an old report no longer counts");
+    assert.ok(router.choose(request).isOk, "an outdated report no longer counts");
 });
--- a/packages/policy/src/lib/routing/createRouter.ts
+++ b/packages/policy/src/lib/routing/createRouter.ts
@@ -15,11 +15,13 @@
 import { type TargetState } from "./TargetState.js";
 import { TargetTable } from "./TargetTable.js";
 
-/** Milliseconds between two looks at the peers: usual figures, and targets that are slow against them. */
+/** Milliseconds between two reviews of a model version, which update the peer figures and eject slow targets. */
 const reviewInterval = 500;
+/** Retry delay returned when no chain covers the layers, in milliseconds. */
 const noCapacityRetryAfter = 500;
-/** The share of requests that are sent even though every target seems far over its bound, to see whether it still is. */
+/** The share of requests sent although all candidates predict times far over the bound, to test the prediction. */
 const trialShare = 0.1;
+/** Calls of plain services have one stage and transfer no activations. */
 const serviceActivationBytes = 0;
 
 class ChainRouter implements Router, AttemptObserver {
@@ -30,7 +32,7 @@
     private readonly dataCentres: DataCentreWatch;
     private readonly planner: RequestPlanner;
     /** Targets that are ejected, unreachable or being probed. */
-    private readonly outOfUse = new Set<TargetState>();
+    private readonly unavailable = new Set<TargetState>();
     private readonly reviewedAt = new Map<string, number>();
 
     constructor(private readonly options: CompleteRouterOptions) {
@@ -45,7 +47,7 @@
 
     update(targets: readonly RoutingTarget[]): void {
         this.table.update(targets);
-        this.outOfUse.forEach(state => this.table.get(state.name) !== state && this.outOfUse.delete(state));
+        this.unavailable.forEach(state => this.table.get(state.name) !== state && this.unavailable.delete(state));
     }
 
     choose(request: RouteRequest): Outcome<RoutedAttempt> {
@@ -70,9 +72,9 @@
             return;
         }
         state.report(load, this.options.clock.now(), this.options.reportMemory);
-        // A late report may predate the notice of leaving, so it cannot take it back.
-        if (load.leaving && !state.saysLeaving) {
-            state.saysLeaving = true;
+        // A delayed report may predate the target's leaving report, so it must not reset the flag.
+        if (load.leaving && !state.reportedAsLeaving) {
+            state.reportedAsLeaving = true;
             this.table.changed(state);
         }
     }
@@ -81,11 +83,11 @@
         const state = this.table.get(target);
         if (state !== undefined) {
             state.health.lost();
-            // A target that restarts comes back with an empty cache, and no longer leaves.
-            state.saysLeaving = false;
+            // After a restart the target has an empty cache and is no longer leaving.
+            state.reportedAsLeaving = false;
             state.cacheGeneration++;
             this.dataCentres.lost(state.target.dataCentre, target);
-            this.tookOut(state);
+            this.trackIfUnusable(state);
         }
     }
 
@@ -104,8 +106,8 @@
         }
         switch (kind) {
             case "stored":
-                // Blocks on targets that this entry does not use would only push out those that matter.
-                if (this.table.rangesOf(state).some(range => range.chosen.includes(state))) {
+                // Blocks on targets outside this entry's subset would only evict useful ones from the index.
+                if (this.table.rangesOf(state).some(range => range.subset.includes(state))) {
                     this.prefixes.stored([state], blocks);
                 }
                 return;
@@ -128,14 +130,20 @@
         }
         this.prefixes.stored(chain.map(({ state }) => state), attempt.prefix);
         if (probe === undefined) {
-            const changes = this.learner.learnFirstToken(chain, this.at(input), key, expectedBlocks, latency);
-            attempt.firstTokenLesson = { latency, changes };
+            const changes = this.learner.learnFirstToken(
+                chain,
+                this.withCurrentTime(input),
+                key,
+                expectedBlocks,
+                latency,
+            );
+            attempt.firstTokenUpdate = { latency, changes };
         }
     }
 
     interval(attempt: ChainAttempt, mean: number): void {
         const { chain, key, probe } = attempt;
-        const input = this.at(attempt.input);
+        const input = this.withCurrentTime(attempt.input);
         if (probe !== undefined && probe.state.health.state === "probing") {
             this.judgeProbe(attempt, probe, mean);
         }
@@ -144,13 +152,13 @@
         }
     }
 
-    cachedSeen(attempt: ChainAttempt, blocks: number): void {
-        const { chain, key, prefix, expectedBlocks, firstTokenLesson } = attempt;
+    cacheHitReported(attempt: ChainAttempt, blocks: number): void {
+        const { chain, key, prefix, expectedBlocks, firstTokenUpdate: firstTokenLesson } = attempt;
         const states = chain.map(({ state }) => state);
         const seen = Math.min(prefix.length, blocks);
-        this.prefixes.judge(states, prefix, { expected: expectedBlocks, seen });
+        this.prefixes.updateTrust(states, prefix, { expected: expectedBlocks, seen });
         if (firstTokenLesson !== undefined && Math.abs(seen - expectedBlocks) > 1) {
-            const input = this.at(attempt.input);
+            const input = this.withCurrentTime(attempt.input);
             this.learner.unlearnFirstToken(chain, firstTokenLesson.changes, input.now);
             this.learner.learnFirstToken(chain, input, key, seen, firstTokenLesson.latency);
         }
@@ -190,7 +198,9 @@
         const late = this.lateness(drawn[0] ?? [], input.now);
         if (late > 0 && probe === undefined && this.options.random.next() >= trialShare) {
             return Result.err(
-                failure(requestCodes.overloaded, "every target is far over its bound", { retryAfter: late }),
+                failure(requestCodes.overloaded, "every candidate target is far over its first-token bound", {
+                    retryAfter: late,
+                }),
             );
         }
         const probed = chain.find(stage => stage.state === probe);
@@ -199,22 +209,25 @@
         return Result.ok(new ChainAttempt(chain, input, request.key, request.prefix, cached, probed, this));
     }
 
-    /** A target out of use whose turn it is to be tried by this request. */
+    /** Returns an unavailable target that is due for a probe and that this request can probe. */
     private probeFor(request: PlanRequest): TargetState | undefined {
-        for (const state of this.outOfUse) {
-            const range = request.ranges.find(candidate => candidate.chosen.includes(state));
+        for (const state of this.unavailable) {
+            const range = request.ranges.find(candidate => candidate.subset.includes(state));
             if (range === undefined || state.isLeaving || request.exclude.has(state.name)) {
                 continue;
             }
             const isBound = range.first === 0 && request.head !== undefined;
-            if (!isBound && !this.dataCentres.isAvoided(state.target.dataCentre) && state.health.wantsProbe()) {
+            if (!isBound && !this.dataCentres.isAvoided(state.target.dataCentre) && state.health.isProbeDue()) {
                 return state;
             }
         }
         return undefined;
     }
 
-    /** By how much the best of the drawn heads is over the bound it may be over, by its own fresh prediction. */
+    /**
+     * Returns by how many milliseconds the lowest recent estimate of the sampled heads exceeds the first-token bound,
+     * or 0 when it is within `refuseAbove` times the bound.
+     */
     private lateness(heads: readonly TargetState[], now: number): number {
         const { refuseAbove, firstTokenBound, reportHalfLife } = this.options;
         if (heads.length === 0) {
@@ -236,7 +249,7 @@
         for (const slow of findSlowTargets(request.ranges, this.options, now)) {
             if (mayEject(this.table.rangesOf(slow), this.options.maxEjected)) {
                 slow.health.eject();
-                this.tookOut(slow);
+                this.trackIfUnusable(slow);
             }
         }
         request.ranges.forEach(range => range.refresh());
@@ -245,20 +258,21 @@
 
     private failed(state: TargetState, weight: number): void {
         state.health.failed(weight, mayEject(this.table.rangesOf(state), this.options.maxEjected));
-        this.tookOut(state);
+        this.trackIfUnusable(state);
     }
 
-    private tookOut(state: TargetState): void {
+    /** Adds a target that is no longer usable to the targets to probe. */
+    private trackIfUnusable(state: TargetState): void {
         if (!state.health.isUsable()) {
-            this.outOfUse.add(state);
+            this.unavailable.add(state);
             this.table.changed(state);
         }
     }
 
     private judgeProbe(attempt: ChainAttempt, probe: Candidate, mean: number): void {
-        const input = this.at(attempt.input);
+        const input = this.withCurrentTime(attempt.input);
         const factor = this.learner.probeFactor(attempt.chain, probe, input, attempt.key, mean);
-        if (factor > this.costs.usualOf(attempt.key).interval * this.options.slowFactor) {
+        if (factor > this.costs.peerFiguresOf(attempt.key).interval * this.options.slowFactor) {
             probe.state.health.eject();
             return;
         }
@@ -267,24 +281,25 @@
 
     private endProbe(state: TargetState, result: AttemptEnd): void {
         if (result === "completed" || result === "refused") {
-            // A refusal shows that the target lives, and costs nobody a late answer.
+            // A refusal shows that the target is alive, and delays no response.
             this.returned(state);
         }
         else {
-            // Cancelled, or failed through another stage.
+            // The attempt was cancelled, or another stage failed.
             state.health.probeWithdrawn();
         }
     }
 
+    /** Readmits a target after a successful probe. Its learned factors are discarded. */
     private returned(state: TargetState): void {
         state.intervalFactor.reset();
         state.prefillFactor.reset();
         state.health.passed();
-        this.outOfUse.delete(state);
+        this.unavailable.delete(state);
         this.table.changed(state);
     }
 
-    private at(input: CostInput): CostInput {
+    private withCurrentTime(input: CostInput): CostInput {
         return { ...input, now: this.options.clock.now() };
     }
 }
--- a/packages/policy/src/lib/routing/rendezvous.ts
+++ b/packages/policy/src/lib/routing/rendezvous.ts
@@ -4,7 +4,7 @@
 const range = 2 ** 32;
 
 /**
- * The 32-bit xxHash of a string.
+ * Returns the 32-bit xxHash of a string.
  *
  * @internal
  */
@@ -13,10 +13,10 @@
 }
 
 /**
- * The weighted rendezvous score of a pair: among all members, the highest scores win. Each member wins in proportion to
- * its weight, and a change of one member moves only what that member gains or loses.
+ * Returns the weighted rendezvous score of a pair; the members with the highest scores are selected. Each member is
+ * selected in proportion to its weight, and a change of one member affects only the selections of that member.
  *
- * @param chooser - The hash of the one that chooses.
+ * @param chooser - The hash of the selecting entry.
  * @param member - The hash of the member.
  * @param weight - The member's weight, above 0.
  * @internal
@@ -26,7 +26,7 @@
     return -weight / Math.log(uniform);
 }
 
-/** Spreads every bit of a 32-bit number over all others. */
+/** Mixes the bits of a 32-bit number, so that each input bit affects all output bits. */
 function mix(value: number): number {
     let bits = value;
     bits = Math.imul(bits ^ (bits >>> 16), 0x85eb_ca6b);
