--- a/packages/policy/src/bench/BenchCase.ts
+++ b/packages/policy/src/bench/BenchCase.ts
@@ -1,33 +1,33 @@
 /**
- * One case of the benchmark. Times are in seconds of virtual time from the start.
+ * A case of the benchmark. Times are in seconds of virtual time from the start.
  *
  * @internal
  */
 export interface BenchCase {
     readonly name: string;
-    /** Offered load as a share of what the slots of the fleet can serve. */
+    /** Offered load as a share of the fleet's capacity. */
     readonly load: number;
-    /** How many times the usual load all organisations send between two moments. */
+    /** A period in which all organisations send a multiple of the base load. */
     readonly burst?: { readonly factor: number; readonly from: number; readonly to: number; };
-    /** How many times its share the first organisation sends, from the start. */
+    /** The load of the first organisation, as a multiple of its share. */
     readonly greedy?: number;
-    /** Prompts share long prefixes, a few of which are very common. */
+    /** True when prompts share long prefixes, a few of which are very common. */
     readonly skewedPrefixes?: boolean;
-    /** A disturbance of some targets between two moments. */
+    /** A fault of some targets during a period. */
     readonly fault?: {
         readonly kind: "slow" | "dead" | "link";
-        /** The share of all targets; the smallest is one. */
+        /** The share of the pipelines that is affected; 0 for a single target. */
         readonly share: number;
         readonly from: number;
         readonly to: number;
     };
-    /** How late load reports are, in milliseconds. */
+    /** Delay of load reports, in milliseconds. */
     readonly reportLag?: number;
 }
 
-/** Seconds of every run before anything is counted, and in all. @internal */
+/** Seconds at the start of every run that are not counted. @internal */
 export const warmUp = 15;
-/** @internal */
+/** Seconds of arrivals in every run, including the warm-up. @internal */
 export const runTime = 75;
 
 const disturbance = { from: 30, to: 50 };
--- a/packages/policy/src/bench/BenchPolicy.ts
+++ b/packages/policy/src/bench/BenchPolicy.ts
@@ -11,30 +11,30 @@
 import { FifoQueue } from "./FifoQueue.js";
 import { fleet } from "./fleet.js";
 
-/** Where an entry runs. */
-export interface EntryPlace {
+/** The environment of an entry. */
+export interface EntryContext {
     readonly clock: Clock;
     readonly random: Random;
     readonly entry: string;
     readonly dataCentre: string;
 }
 
-/** A pair of router and admission to be measured. */
+/** A combination of router, admission queue and retry budget to be measured. */
 export interface BenchPolicy {
     readonly name: string;
-    createRouter(place: EntryPlace): Router;
+    createRouter(place: EntryContext): Router;
     createQueue(clock: Clock, slots: number): WorkQueue;
     createBudget(clock: Clock, random: Random): RetryBudget;
 }
 
-/** Options under test, for sweeps. */
+/** Option values under test, for sweeps. */
 export interface PolicyOverrides {
     readonly router?: Partial<RouterOptions>;
     readonly queue?: Partial<WorkQueueOptions>;
     readonly budget?: Partial<RetryBudgetOptions>;
 }
 
-/** The project's own router and admission. @internal */
+/** The project's own router, queue and retry budget. @internal */
 export function ownPolicy(overrides: PolicyOverrides = {}): BenchPolicy {
     return {
         name: "waxwingspar",
@@ -44,7 +44,7 @@
     };
 }
 
-/** A router to compare with, before the project's own admission and retry budget. */
+/** A baseline router, combined with the project's own queue and retry budget. */
 function baseline(name: string, create: (random: Random) => Router): BenchPolicy {
     return { ...ownPolicy(), name, createRouter: place => create(place.random) };
 }
@@ -56,10 +56,10 @@
     baseline("least loaded", createLeastLoadedRouter),
 ];
 
-/** A policy before the admission to compare with. */
+/** Returns a policy with its queue replaced by a FIFO queue. */
 function withFifoQueue(policy: BenchPolicy): BenchPolicy {
     return { ...policy, name: `${policy.name}, FIFO queue`, createQueue: (_, slots) => new FifoQueue(slots) };
 }
 
-/** Every router before a plain queue, to compare admission with. @internal */
+/** All routers, combined with a FIFO queue as the admission baseline. @internal */
 export const fifoPolicies: readonly BenchPolicy[] = [ownPolicy(), ...baselinePolicies].map(withFifoQueue);
--- a/packages/policy/src/bench/BenchRequest.ts
+++ b/packages/policy/src/bench/BenchRequest.ts
@@ -7,27 +7,31 @@
 import { fleet } from "./fleet.js";
 import { type Arrival } from "./Traffic.js";
 
+/** Bound on the time to first token, in milliseconds. */
 const firstTokenBound = 540;
+/** Bound on the time between tokens, in milliseconds. */
 const tokenBound = 72;
-/** The contract allows one interval in twenty beyond the bound. */
-const toleratedLate = 0.05;
+/** The service-level objective allows one interval in twenty beyond the bound. */
+const maxLateShare = 0.05;
+/** Milliseconds from the arrival to the caller's deadline. */
 const deadline = 30_000;
 const maxAttempts = 4;
-/** Tokens that are simulated by one event. */
+/** Number of tokens simulated by one event. */
 const tokensPerEvent = 8;
-/** Until an entry notices that a connection is refused or was lost, in milliseconds. */
+/** Milliseconds until an entry detects a refused or lost connection. */
 const connectionFailure = 1;
 const tokensPerBlock = 64;
 
-/** An attempt that runs. */
+/** A running attempt. */
 interface BenchSession {
     isOver: boolean;
-    /** Leading blocks of the prompt that every stage held. */
+    /** Number of leading blocks of the prompt that were cached on every stage. */
     readonly cached: number;
 }
 
 /**
- * One request: attempts on chains until one completes, the budget is spent or the bound is past all hope.
+ * A simulated request. It makes attempts on chains until one completes, the attempts or the retry budget are used up,
+ * or the first-token bound has passed.
  *
  * @internal
  */
@@ -100,7 +104,7 @@
         }
     }
 
-    /** The head has a slot: the tail is asked for one. */
+    /** Requests a slot of the tail after the head has granted one. */
     private join(attempt: RoutedAttempt, id: string, head: FakeTarget, tail: FakeTarget): void {
         const startedAt = this.now;
         const leaveHead = () => head.queue.finish(id, this.now - startedAt);
@@ -131,7 +135,7 @@
             priority: 5,
             timeLeft: deadline - spent,
             startBound: firstTokenBound - spent,
-            // The agent knows what its own engine has cached.
+            // An agent knows the cache contents of its own engine.
             cost: (prefix.length - target.cachedBlocks(prefix)) * tokensPerBlock,
         };
     }
@@ -141,7 +145,7 @@
         const { prefix } = this.arrival;
         const cached = Math.min(head.cachedBlocks(prefix), tail.cachedBlocks(prefix));
         const session: BenchSession = { isOver: false, cached };
-        const over = () => {
+        const releaseSlots = () => {
             session.isOver = true;
             head.sessions.delete(session);
             tail.sessions.delete(session);
@@ -149,7 +153,7 @@
             tail.queue.finish(id, this.now - tailStart);
         };
         const fail = (target: FakeTarget) => {
-            over();
+            releaseSlots();
             this.lost(attempt, target);
         };
         if (head.isDead) {
@@ -168,7 +172,7 @@
                 head.queue.observe(this.now - headStart, undefined);
                 tail.queue.observe(this.now - tailStart, undefined);
                 this.firstToken(attempt, head);
-                this.decode(attempt, head, tail, session, over);
+                this.decode(attempt, head, tail, session, releaseSlots);
             }, tail.prefill(prefix.length - cached) + hop);
         }, hop + head.prefill(prefix.length - cached) + hop);
     }
@@ -191,11 +195,11 @@
         head: FakeTarget,
         tail: FakeTarget,
         session: BenchSession,
-        over: () => void,
+        releaseSlots: () => void,
     ): void {
         const left = this.arrival.tokens - this.produced;
         if (left <= 0) {
-            over();
+            releaseSlots();
             attempt.cached?.(session.cached);
             attempt.end("completed");
             this.budget.ended(true);
@@ -217,7 +221,7 @@
             this.countIntervals(interval, count);
             this.produced += count;
             this.lastTokenAt = this.now;
-            this.decode(attempt, head, tail, session, over);
+            this.decode(attempt, head, tail, session, releaseSlots);
         }, interval * count);
     }
 
@@ -256,8 +260,8 @@
 
     private retry(target: FakeTarget, delay: number, kind: "failed" | "refused"): void {
         this.exclude.add(target.spec.name);
-        const isHopeless = this.firstTokenAt === undefined && this.now + delay - this.arrival.time >= firstTokenBound;
-        if (this.attempts >= maxAttempts || isHopeless || !this.budget.spend(kind)) {
+        const isPastBound = this.firstTokenAt === undefined && this.now + delay - this.arrival.time >= firstTokenBound;
+        if (this.attempts >= maxAttempts || isPastBound || !this.budget.spend(kind)) {
             this.finish(false);
             return;
         }
@@ -272,7 +276,7 @@
             arrival: this.arrival.time,
             organisation: this.arrival.organisation,
             firstToken,
-            isWithinBounds: isComplete && isInTime && this.lateIntervals <= toleratedLate * this.arrival.tokens,
+            isWithinBounds: isComplete && isInTime && this.lateIntervals <= maxLateShare * this.arrival.tokens,
         });
     }
 }
--- a/packages/policy/src/bench/BenchWorld.test.ts
+++ b/packages/policy/src/bench/BenchWorld.test.ts
@@ -16,25 +16,25 @@
     return runCase({ ...caseOf(name), ...more }, ownPolicy(), seed, pipelines);
 }
 
-test("goodput is back within 5 s after a burst, without a retry storm", () => {
+test("goodput recovers within 5 s after a burst, without a retry storm", () => {
     const result = runOwn("burst 3x");
     assert.ok(result.recoveryAfterEnd !== undefined && result.recoveryAfterEnd <= 5, `${result.recoveryAfterEnd} s`);
     assert.ok(result.attempts < 3 * result.offered * 75, `${result.attempts} attempts`);
 });
 
-test("goodput is back within 5 s after lost replicas return", () => {
+test("goodput recovers within 5 s after lost replicas return", () => {
     const result = runOwn("third lost");
     assert.ok(result.recoveryAfterEnd !== undefined && result.recoveryAfterEnd <= 5, `${result.recoveryAfterEnd} s`);
 });
 
-test("other organisations keep their goodput beside one at 20x", () => {
+test("other organisations keep their goodput while one sends 20 times its share", () => {
     const alone = runOwn("organisation 20x", { greedy: 1 });
     const crowded = runOwn("organisation 20x");
     const kept = crowded.otherOrganisations / alone.otherOrganisations;
     assert.ok(kept >= 0.95, `others keep ${kept}`);
 });
 
-test("a slow replica costs less than under any baseline", () => {
+test("goodput with a slow replica is higher than under every baseline", () => {
     const own = runOwn("slow replica").goodput;
     for (const policy of baselinePolicies) {
         const { goodput } = runCase(caseOf("slow replica"), policy, seed, pipelines);
@@ -46,7 +46,7 @@
     assert.deepEqual(runOwn("steady"), runOwn("steady"));
 });
 
-test("an organisation's limit holds over all targets together", () => {
+test("an organisation's rate limit holds over all targets together", () => {
     const over = measureLimitError(40, 5, 2, seed).admitted;
     const under = measureLimitError(40, 5, 0.9, seed).admitted;
     assert.ok(over >= 0.98 && over <= 1.05, `${over} of the limit at twice its rate`);
--- a/packages/policy/src/bench/BenchWorld.ts
+++ b/packages/policy/src/bench/BenchWorld.ts
@@ -10,29 +10,32 @@
 import { Measurement } from "./Measurement.js";
 import { Traffic } from "./Traffic.js";
 
-/** Milliseconds between two load reports of a target, and until one arrives if the case does not say. */
+/** Milliseconds between two load reports of a target. */
 const reportInterval = 500;
-const usualReportLag = 500;
-/** Milliseconds until a cache event arrives, and the share of them that is lost. */
+/** Delay of load reports in milliseconds, unless the case sets another. */
+const defaultReportLag = 500;
+/** Delay of cache events, in milliseconds. */
 const cacheEventLag = 1000;
+/** The share of cache events that is lost. */
 const cacheEventLoss = 0.1;
-/** Milliseconds until the live list tells of a dead or returned host. */
+/** Milliseconds until the live list reflects a failed or recovered target. */
 const liveListLag = 10_000;
+/** One-way latency between data centres, in milliseconds. */
 const dataCentreLatency = 0.6;
 const millisecondsPerSecond = 1000;
-/** Seconds after the last arrival for which answers are awaited. */
+/** Seconds that the run continues after the last arrival, so that requests can complete. */
 const drainTime = 40;
 
-/** An entry of the benchmark. */
+/** A simulated entry. */
 export interface BenchEntry {
     readonly dataCentre: string;
     readonly router: Router;
-    /** Each organisation has a retry budget of its own, so that none spends the others'. */
+    /** Returns the retry budget of an organisation. Budgets are separate, so that none is used up by another. */
     budgetOf(organisation: number): RetryBudget;
 }
 
 /**
- * One run of one case under one policy: the real routers, budgets and queues around fake targets, on virtual time.
+ * A run of one case under one policy: the real routers, budgets and queues with simulated targets, on virtual time.
  *
  * @internal
  */
@@ -52,7 +55,7 @@
         this.offeredRate = capacityOf(this.specs) * benchCase.load;
         this.targets = new Map(this.specs.map(spec => {
             const target = new FakeTarget(spec, this.clock, slots => policy.createQueue(this.clock, slots));
-            target.onCacheEvent = event => this.passCacheEvent(spec.name, event);
+            target.onCacheEvent = event => this.forwardCacheEvent(spec.name, event);
             return [spec.name, target];
         }));
         this.entries = Array.from({ length: fleet.entries }, (_, index) => this.createEntry(policy, index));
@@ -103,7 +106,7 @@
     }
 
     private scheduleReport(target: FakeTarget): void {
-        const lag = this.benchCase.reportLag ?? usualReportLag;
+        const lag = this.benchCase.reportLag ?? defaultReportLag;
         const send = () => {
             if (!target.isDead) {
                 const report = target.report();
@@ -116,7 +119,7 @@
         this.clock.schedule(send, this.random.below(reportInterval));
     }
 
-    private passCacheEvent(target: string, event: FakeCacheEvent): void {
+    private forwardCacheEvent(target: string, event: FakeCacheEvent): void {
         for (const { router } of this.entries) {
             const isLost = this.random.next() < cacheEventLoss;
             const kind = isLost ? "gap" : event.kind;
@@ -132,7 +135,7 @@
         const pipelines = this.specs.length / 2;
         const count = Math.max(1, Math.round(pipelines * fault.share));
         for (let index = 0; index < count; index++) {
-            // Whole pipelines fail, as when their hosts share a rack.
+            // Whole pipelines fail together, as if their hosts shared a rack.
             const names = fault.share === 0 ? ["target-0-0"] : [`target-0-${index}`, `target-1-${index}`];
             names.map(name => this.target(name)).forEach(target => {
                 this.clock.schedule(() => this.disturb(target, fault.kind), fault.from * millisecondsPerSecond);
@@ -151,7 +154,7 @@
                 return;
             case "dead":
                 target.kill();
-                this.tellLiveList(target, true);
+                this.updateLiveList(target, true);
                 return;
         }
     }
@@ -161,12 +164,12 @@
         target.linkSlowdown = 1;
         if (kind === "dead") {
             target.revive();
-            this.tellLiveList(target, false);
+            this.updateLiveList(target, false);
         }
     }
 
-    private tellLiveList(target: FakeTarget, leaving: boolean): void {
-        const tell = () => this.entries.forEach(entry => entry.router.setLeaving(target.spec.name, leaving));
-        this.clock.schedule(tell, liveListLag);
+    private updateLiveList(target: FakeTarget, leaving: boolean): void {
+        const apply = () => this.entries.forEach(entry => entry.router.setLeaving(target.spec.name, leaving));
+        this.clock.schedule(apply, liveListLag);
     }
 }
--- a/packages/policy/src/bench/CacheTarget.ts
+++ b/packages/policy/src/bench/CacheTarget.ts
@@ -2,15 +2,16 @@
 import { type Clock } from "@waxwingspar/utils";
 import { type RoutingTarget } from "../lib/routing/Router.js";
 
-/** Prefill of one block, in milliseconds; a prompt takes one block more than it has. */
+/** Milliseconds to prefill one block; every prompt takes the time of one extra block. */
 const blockTime = 4;
+/** Milliseconds in a minute. */
 const minute = 60_000;
-/** Milliseconds over which evictions are averaged, as the agent does. */
+/** Time constant of the eviction rate's average, in milliseconds, as in the agent. */
 const evictionMemory = 30_000;
 
 /**
- * A target whose prefix cache matters: one prefill at a time, and blocks longest unused evicted first. It reports what an
- * agent reports of its engine, at most a second old.
+ * A simulated target with a prefix cache. It runs one prefill at a time, evicts the least recently used blocks, and
+ * reports cache figures at most a second old, as an agent does.
  *
  * @internal
  */
@@ -25,7 +26,7 @@
 
     constructor(readonly spec: RoutingTarget, private readonly clock: Clock, private readonly capacity: number) {}
 
-    /** Takes in a prompt. Returns how many of its blocks were cached, and the milliseconds until its first token. */
+    /** Prefills a prompt. Returns the number of cached blocks, and the milliseconds until the first token. */
     prefill(prompt: readonly string[]): { cached: number; delay: number; } {
         let cached = 0;
         while (cached < prompt.length && this.blocks.has(prompt[cached]!)) {
@@ -46,7 +47,11 @@
         this.generation++;
     }
 
-    /** What the agent does each second. */
+    /**
+     * Updates the reported cache figures, as an agent does each second.
+     *
+     * @param interval - Milliseconds since the previous update.
+     */
     poll(interval: number): void {
         this.evictionRate += (this.evicted / interval - this.evictionRate) * (1 - Math.exp(-interval / evictionMemory));
         this.evicted = 0;
@@ -54,11 +59,11 @@
         this.polled = { cacheGeneration: this.generation, cacheEvicted };
     }
 
-    report(tellsCache: boolean): LoadReport {
+    report(includesCache: boolean): LoadReport {
         const { name, slots } = this.spec;
         const load = { target: name, running: this.running, queued: 0, slots, tokenInterval: 25, leaving: false };
         const firstTokenEstimate = Math.max(0, this.freeAt - this.clock.now());
-        return { ...load, firstTokenEstimate, ...tellsCache ? this.polled : {} };
+        return { ...load, firstTokenEstimate, ...includesCache ? this.polled : {} };
     }
 
     private evict(): void {
--- a/packages/policy/src/bench/EventClock.ts
+++ b/packages/policy/src/bench/EventClock.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * A clock of virtual time that jumps from event to event, with a binary heap for millions of them.
+ * A virtual clock that advances from event to event. Events are kept in a binary heap, to support millions of them.
  *
  * @internal
  */
@@ -34,7 +34,7 @@
         };
     }
 
-    /** Runs events in order until the given time. */
+    /** Runs all events due up to the given time, in order. */
     runUntil(end: number): void {
         for (let next = this.heap[0]; next !== undefined && next.due <= end; next = this.heap[0]) {
             this.popFirst();
--- a/packages/policy/src/bench/FakeTarget.ts
+++ b/packages/policy/src/bench/FakeTarget.ts
@@ -3,38 +3,39 @@
 import { type WorkQueue } from "../lib/admission/WorkQueue.js";
 import { type RoutingTarget } from "../lib/routing/Router.js";
 
-/** Prefill of one cache block on one stage at speed 1, in milliseconds. */
+/** Milliseconds to prefill one cache block on one stage at speed 1. */
 const blockTime = 4;
-/** One token on one stage of an empty target, in milliseconds; it grows by {@link batchSlope} up to a full batch. */
+/** Milliseconds for one token on one stage of an idle target. */
 const tokenTime = 16;
+/** The share by which the token time of a full batch exceeds that of an idle target. */
 const batchSlope = 0.7;
-/** Cache blocks that a target holds for each of its slots. */
+/** Capacity of a target's prefix cache, in blocks per slot. */
 const cacheBlocksPerSlot = 20;
 
-/** A cache event as the target publishes it. */
+/** A cache event published by a target. */
 export interface FakeCacheEvent {
     readonly kind: "stored" | "evicted";
     readonly blocks: readonly string[];
 }
 
 /**
- * A target at its interface: a prefill that runs one prompt after the other, a batch that slows as it fills, and a
- * prefix cache that drops the blocks longest unused. The queue before it is the real one.
+ * A simulated target: it prefills one prompt at a time, its batch slows down as it fills, and its prefix cache evicts
+ * the least recently used blocks. Its work queue is the real one.
  *
  * @internal
  */
 export class FakeTarget {
     queue: WorkQueue;
     isDead = false;
-    /** 1 as usual, 10 at a tenth of the speed. */
+    /** Factor on the target's times: 1 at normal speed, 10 at a tenth of the speed. */
     slowdown = 1;
-    /** 1 as usual, 100 for a link slowed a hundredfold. */
+    /** Factor on the link's latency: 1 normally, 100 for a link slowed a hundredfold. */
     linkSlowdown = 1;
-    /** What to call when the target dies, for each request that it runs. */
+    /** Failure callbacks of the running requests, called when the target fails. */
     readonly sessions = new Map<object, () => void>();
     onCacheEvent: (event: FakeCacheEvent) => void = () => undefined;
     private prefillFreeAt = 0;
-    /** Cached blocks, the longest unused first, and whether each was published. */
+    /** Cached blocks, least recently used first, and whether each was published. */
     private readonly cache = new Map<string, boolean>();
 
     constructor(
@@ -49,7 +50,7 @@
         return this.spec.latency * this.linkSlowdown;
     }
 
-    /** The time of one token on this stage now, in milliseconds. */
+    /** Returns the current time for one token on this stage, in milliseconds. */
     tokenInterval(): number {
         const fill = this.sessions.size / this.spec.slots;
         return tokenTime * (1 + batchSlope * fill) * this.slowdown;
@@ -63,14 +64,14 @@
         return cached;
     }
 
-    /** Prefills some blocks behind those already there. Returns how long that takes, in milliseconds. */
+    /** Queues a prefill of some blocks behind the pending ones. Returns the milliseconds until it ends. */
     prefill(blocks: number): number {
         const start = Math.max(this.clock.now(), this.prefillFreeAt);
         this.prefillFreeAt = start + (blocks + 1) * blockTime / this.spec.speed * this.slowdown;
         return this.prefillFreeAt - this.clock.now();
     }
 
-    /** Caches a prompt. Only blocks that a second request used are published, as a small control budget demands. */
+    /** Caches a prompt. Only blocks used by a second request are published, to limit the control traffic. */
     store(prefix: readonly string[]): void {
         const reused: string[] = [];
         for (const block of prefix) {
@@ -85,7 +86,7 @@
         this.publish("evicted", this.evict());
     }
 
-    /** Drops blocks until the cache fits, and returns those that had been published. */
+    /** Evicts blocks until the cache is within its capacity, and returns those that had been published. */
     private evict(): string[] {
         const published: string[] = [];
         for (const [block, wasPublished] of this.cache) {
@@ -100,7 +101,7 @@
         return published;
     }
 
-    /** Dies: what runs fails, what waits is lost with it, the cache is gone. */
+    /** Simulates a failure: running requests fail, queued ones are refused, and the cache is lost. */
     kill(): void {
         this.isDead = true;
         this.cache.clear();
--- a/packages/policy/src/bench/FifoQueue.ts
+++ b/packages/policy/src/bench/FifoQueue.ts
@@ -2,10 +2,11 @@
 import { Result } from "true-myth";
 import { type WorkItem, type WorkQueue } from "../lib/admission/WorkQueue.js";
 
+/** Maximum number of queued items. */
 const capacity = 256;
 
 /**
- * The admission to compare with: first in, first out, bounded only by its length.
+ * The admission baseline: a first-in, first-out queue that is limited only by its length.
  *
  * @internal
  */
@@ -50,7 +51,7 @@
     }
 
     observe(): void {
-        // It learns nothing.
+        // This queue does not learn from observations.
     }
 
     estimate(): number {
@@ -58,7 +59,7 @@
     }
 
     setShare(): void {
-        // It knows no organisations.
+        // This queue does not distinguish organisations.
     }
 
     close(): void {
--- a/packages/policy/src/bench/Measurement.ts
+++ b/packages/policy/src/bench/Measurement.ts
@@ -1,15 +1,16 @@
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** Microseconds in a millisecond; the histograms count whole numbers. */
-const scale = 1000;
-const highestValue = 600_000 * scale;
+/** Histograms record integers, so times are stored in microseconds. */
+const microsecondsPerMillisecond = 1000;
+/** Highest recordable time, in microseconds. */
+const highestValue = 600_000 * microsecondsPerMillisecond;
 
-/** A request's end, as the caller saw it. */
+/** The result of a request as observed by the caller. */
 export interface RequestEnd {
-    /** Arrival in milliseconds of virtual time. */
+    /** Arrival time in milliseconds of virtual time. */
     readonly arrival: number;
     readonly organisation: number;
-    /** Milliseconds to the first token, counted from the arrival; undefined if there was none. */
+    /** Milliseconds from the arrival to the first token; undefined without a first token. */
     readonly firstToken: number | undefined;
     readonly isWithinBounds: boolean;
 }
@@ -20,7 +21,8 @@
 }
 
 /**
- * What a run measured.
+ * The measurements of a run. Rates, shares and first tokens cover the requests that arrived from second `from` until
+ * before second `to`.
  *
  * @internal
  */
@@ -30,8 +32,9 @@
     attempts = 0;
     retries = 0;
     refusals = 0;
-    /** Prompt blocks of the attempts that ran, and those of them that were cached on every stage. */
+    /** Number of prompt blocks of the attempts that ran. */
     promptBlocks = 0;
+    /** Number of these blocks that were cached on every stage. */
     cachedBlocks = 0;
     private readonly bySecond: Tally[] = [];
     private readonly byOrganisation: Tally[] = [];
@@ -39,10 +42,10 @@
     constructor(private readonly from: number, private readonly to: number) {}
 
     interval(milliseconds: number, count: number): void {
-        this.intervals.recordValueWithCount(Math.round(milliseconds * scale), count);
+        this.intervals.recordValueWithCount(Math.round(milliseconds * microsecondsPerMillisecond), count);
     }
 
-    /** A request arrived; one that never ends counts as offered all the same. */
+    /** Records an arrival. A request that never ends counts as offered too. */
     arrived(arrival: number, organisation: number): void {
         const second = Math.floor(arrival / 1000);
         rowOf(this.bySecond, second).offered++;
@@ -60,32 +63,32 @@
         }
         rowOf(this.byOrganisation, end.organisation).good += good;
         if (end.firstToken !== undefined) {
-            this.firstTokens.recordValue(Math.round(end.firstToken * scale));
+            this.firstTokens.recordValue(Math.round(end.firstToken * microsecondsPerMillisecond));
         }
     }
 
-    /** Requests per second that were offered, or that ended within the bounds. */
+    /** Returns the rate of requests that were offered, or that ended within the bounds, per second. */
     rate(what: "offered" | "good"): number {
         return sum(this.bySecond.slice(this.from, this.to), what) / (this.to - this.from);
     }
 
-    /** The share of requests that ended within the bounds, by organisation. */
+    /** Returns the share of requests that ended within the bounds, by organisation. */
     goodShares(): number[] {
         return this.byOrganisation.map(({ offered, good }) => good / offered);
     }
 
-    /** Requests of an organisation that ended within the bounds, per second. */
+    /** Returns the rate of an organisation's requests that ended within the bounds, per second. */
     organisationGoodput(organisation: number): number {
         return (this.byOrganisation[organisation]?.good ?? 0) / (this.to - this.from);
     }
 
     p95(histogram: Histogram): number {
-        return histogram.getValueAtPercentile(95) / scale;
+        return histogram.getValueAtPercentile(95) / microsecondsPerMillisecond;
     }
 
     /**
-     * Seconds from a moment until the share of good requests is back at 95% of what it was before, counted by seconds
-     * of arrival, for three seconds together; undefined if it never is.
+     * Returns the seconds from `moment` until the share of good requests, by arrival time, is at least 95% of its value
+     * before second `before` over three consecutive seconds; undefined if it does not recover.
      */
     recovery(moment: number, before: number): number | undefined {
         const usual = share(this.bySecond.slice(this.from, before));
--- a/packages/policy/src/bench/Traffic.ts
+++ b/packages/policy/src/bench/Traffic.ts
@@ -2,16 +2,20 @@
 import { type BenchCase } from "./BenchCase.js";
 import { fleet } from "./fleet.js";
 
+/** Number of shared prefixes. */
 const sharedPrefixes = 300;
+/** Number of blocks of each shared prefix. */
 const sharedBlocks = 40;
-/** The exponent of the prefixes' popularity, by rank. */
+/** Exponent of the Zipf distribution of the shared prefixes. */
 const skew = 1.1;
+/** Number of blocks of a prompt without a shared prefix. */
 const uniqueBlocks = { fewest: 16, most: 32 };
+/** Number of blocks that follow a shared prefix. */
 const uniqueBlocksAfterPrefix = { fewest: 4, most: 12 };
-/** Answers are of very different lengths: exponential, so that a tenth is longer than twice the mean. */
+/** Response lengths in tokens, exponentially distributed: about a tenth is longer than twice the mean. */
 const answerTokens = { mean: 60, fewest: 2, most: 400 };
 
-/** One request of a caller. */
+/** A request of a caller. */
 export interface Arrival {
     readonly id: number;
     /** Milliseconds of virtual time. */
@@ -23,8 +27,8 @@
 }
 
 /**
- * The arrivals of a case: a Poisson process that does not wait for answers. The same seed gives the same arrivals
- * whatever is measured.
+ * Generates the arrivals of a case as an open-loop Poisson process. The arrivals depend on the seed alone, not on the
+ * policy under test.
  *
  * @internal
  */
@@ -34,10 +38,10 @@
     private time = 0;
     private count = 0;
 
-    /** @param rate - Requests per second of the usual load. */
+    /** @param rate - Base load in requests per second. */
     constructor(private readonly benchCase: BenchCase, private readonly rate: number, seed: number) {
         this.random = seededRandom(seed);
-        this.popularity = cumulated(Array.from({ length: sharedPrefixes }, (_, rank) => (rank + 1) ** -skew));
+        this.popularity = cumulativeShares(Array.from({ length: sharedPrefixes }, (_, rank) => (rank + 1) ** -skew));
     }
 
     next(): Arrival {
@@ -60,7 +64,7 @@
         return burst !== undefined && second >= burst.from && second < burst.to ? burst.factor : 1;
     }
 
-    /** How the total grows when one organisation sends more than its share. */
+    /** Returns the factor by which a greedy organisation increases the total load. */
     private greedFactor(): number {
         return (fleet.organisations - 1 + (this.benchCase.greedy ?? 1)) / fleet.organisations;
     }
@@ -93,8 +97,8 @@
     }
 }
 
-/** Running shares of a list of weights, the last of which is 1. */
-function cumulated(weights: readonly number[]): number[] {
+/** Returns the cumulative shares of the weights; the last is 1. */
+function cumulativeShares(weights: readonly number[]): number[] {
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     let sum = 0;
     const shares = weights.map(weight => (sum += weight) / total);
--- a/packages/policy/src/bench/baselineRouters.ts
+++ b/packages/policy/src/bench/baselineRouters.ts
@@ -3,15 +3,18 @@
 import { Result } from "true-myth";
 import { type RoutedAttempt, type Router, type RouteRequest, type RoutingTarget } from "../lib/routing/Router.js";
 
-/** Picks one of the targets that may run a stage. */
-type Pick = (usable: readonly RoutingTarget[]) => RoutingTarget;
+/** Selects one of the usable targets of a stage. */
+type TargetSelector = (usable: readonly RoutingTarget[]) => RoutingTarget;
 
-/** A router that chooses every stage on its own by a simple rule, among targets that do not leave. */
+/** A router that selects the target of each stage independently, by a simple rule, from those not leaving. */
 class SimpleRouter implements Router {
     protected ranges: RoutingTarget[][] = [];
     private readonly leaving = new Set<string>();
 
-    constructor(private readonly pick: Pick, private readonly onReport: (load: LoadReport) => void = () => undefined) {}
+    constructor(
+        private readonly pick: TargetSelector,
+        private readonly onReport: (load: LoadReport) => void = () => undefined,
+    ) {}
 
     update(targets: readonly RoutingTarget[]): void {
         const firsts = [...new Set(targets.map(target => target.holds[0]!.first))].sort((a, b) => a - b);
@@ -23,7 +26,7 @@
         for (const targets of this.ranges) {
             const usable = targets.filter(({ name }) => !this.leaving.has(name) && !request.exclude.has(name));
             if (usable.length === 0) {
-                return Result.err(failure(requestCodes.noCapacity, "no target left"));
+                return Result.err(failure(requestCodes.noCapacity, "no usable target for a stage"));
             }
             const { name, host, port, holds } = this.pick(usable);
             stages.push({ target: name, host, port, first: holds[0]!.first, last: holds[0]!.last });
@@ -50,15 +53,15 @@
     }
 
     unreachable(): void {
-        // A plain balancer waits for the live list.
+        // A simple balancer relies on the live list.
     }
 
     cacheEvent(): void {
-        // A plain balancer knows nothing of caches.
+        // A simple balancer ignores caches.
     }
 }
 
-/** Chooses at random, in proportion to slots. @internal */
+/** Selects targets at random, in proportion to their slots. @internal */
 export function createRandomRouter(random: Random): Router {
     return new SimpleRouter(usable => {
         let drawn = random.next() * totalSlots(usable);
@@ -66,15 +69,20 @@
     });
 }
 
-/** Chooses in turn, in proportion to slots: each turn every target gains its slots, and the richest pays for all. @internal */
+/**
+ * Selects targets by smooth weighted round robin: each turn every target gains its slots as credit, and the target with
+ * the highest credit is selected and pays the total of the slots.
+ *
+ * @internal
+ */
 export function createRoundRobinRouter(random: Random): Router {
     const credits = new Map<string, number>();
     const creditOf = (target: RoutingTarget) => credits.get(target.name) ?? random.next() * target.slots;
     return new SimpleRouter(usable => {
         usable.forEach(target => credits.set(target.name, creditOf(target) + target.slots));
-        const richest = usable.reduce((best, target) => creditOf(target) > creditOf(best) ? target : best);
-        credits.set(richest.name, creditOf(richest) - totalSlots(usable));
-        return richest;
+        const selected = usable.reduce((best, target) => creditOf(target) > creditOf(best) ? target : best);
+        credits.set(selected.name, creditOf(selected) - totalSlots(usable));
+        return selected;
     });
 }
 
@@ -82,11 +90,11 @@
     return targets.reduce((sum, target) => sum + target.slots, 0);
 }
 
-/** Chooses the target with the least load for its slots by the last report, at random among equals. @internal */
+/** Selects the target with the lowest last reported load per slot, at random among equals. @internal */
 export function createLeastLoadedRouter(random: Random): Router {
     const loads = new Map<string, number>();
     const loadOf = (target: RoutingTarget) => loads.get(target.name) ?? 0;
-    const pick: Pick = usable => {
+    const pick: TargetSelector = usable => {
         const lowest = Math.min(...usable.map(loadOf));
         const best = usable.filter(target => loadOf(target) === lowest);
         return best[random.below(best.length)]!;
--- a/packages/policy/src/bench/benchReport.ts
+++ b/packages/policy/src/bench/benchReport.ts
@@ -2,9 +2,9 @@
 
 const own = "waxwingspar";
 const baselines = ["random", "round robin", "least loaded"];
-const plainBaselines = baselines.map(name => `${name}, FIFO queue`);
+const fifoBaselines = baselines.map(name => `${name}, FIFO queue`);
 
-/** Renders a result, and its ratio to an earlier one if there is any, as Markdown. @internal */
+/** Renders a result as Markdown, with its ratio to an earlier result if one is given. @internal */
 export function renderReport(result: BenchResult, earlier: BenchResult | undefined): string {
     const sections = [
         `Seed ${result.seed}${result.quick ? ", quick run" : ""}.`,
@@ -58,7 +58,7 @@
     return ratios(caseNames(result), result.cases, row => row.benchCase, row => row.goodput);
 }
 
-/** For each group, the own figure against the best baseline before the same admission, and before a plain queue. */
+/** Compares the own policy in each group with the best baseline router, once with the same queue and once with FIFO. */
 function ratios<T extends { readonly policy: string; }>(
     groups: readonly string[],
     rows: readonly T[],
@@ -70,13 +70,13 @@
         header,
         groups.map(group => {
             const inGroup = rows.filter(row => groupOf(row) === group);
-            const mine = value(inGroup.find(row => row.policy === own)!);
-            const against = (names: readonly string[]) => {
+            const ownValue = value(inGroup.find(row => row.policy === own)!);
+            const compareWith = (names: readonly string[]) => {
                 const best = bestOf(inGroup.filter(row => names.includes(row.policy)), value);
-                const ratio = value(best) === 0 ? "none reaches it" : (mine / value(best)).toFixed(2);
+                const ratio = value(best) === 0 ? "none reaches it" : (ownValue / value(best)).toFixed(2);
                 return [best.policy.replace(", FIFO queue", ""), value(best).toFixed(1), ratio];
             };
-            return [group, mine.toFixed(1), ...against(baselines), ...against(plainBaselines)];
+            return [group, ownValue.toFixed(1), ...compareWith(baselines), ...compareWith(fifoBaselines)];
         }),
     );
 }
@@ -156,13 +156,13 @@
         return [];
     }
     const rows = caseNames(result).map(name => {
-        const mine = find(result, name, own).goodput;
+        const ownGoodput = find(result, name, own).goodput;
         const before = earlier.cases.find(row => row.benchCase === name && row.policy === own)?.goodput;
         return [
             name,
             before?.toFixed(1) ?? "not run",
-            mine.toFixed(1),
-            before === undefined ? "" : (mine / before).toFixed(3),
+            ownGoodput.toFixed(1),
+            before === undefined ? "" : (ownGoodput / before).toFixed(3),
         ];
     });
     return ["## Against the earlier run", table(["case", "earlier goodput/s", "goodput/s", "ratio"], rows)];
@@ -180,7 +180,7 @@
     return rows.reduce((best, row) => value(row) > value(best) ? row : best);
 }
 
-/** A Markdown table. @internal */
+/** Renders a Markdown table. @internal */
 export function table(header: readonly string[], rows: readonly (readonly string[])[]): string {
     const line = (cells: readonly string[]) => `| ${cells.join(" | ")} |`;
     return [line(header), line(header.map(() => "---")), ...rows.map(line)].join("\n");
--- a/packages/policy/src/bench/cacheFeedback.ts
+++ b/packages/policy/src/bench/cacheFeedback.ts
@@ -13,33 +13,36 @@
 const runTime = 90_000;
 const warmUp = 20_000;
 const pollInterval = 1000;
-/** Milliseconds from the first token to the end of an answer. */
+/** Milliseconds from the first token to the end of a response. */
 const answerTime = 1000;
 
 /** @internal */
 export interface CacheCase {
     readonly name: string;
-    /** Blocks that each target's cache holds. */
+    /** Capacity of each target's cache, in blocks. */
     readonly capacity: number;
-    /** Prompts with a shared part of their own; the n-th is asked for in proportion to 1/n. */
+    /** Number of shared prompt prefixes; the n-th is requested with a frequency proportional to 1/n. */
     readonly prefixes: number;
-    /** Milliseconds between two times at which half the targets lose their cache; 0 for never. */
+    /** Milliseconds between the times at which half the targets lose their caches; 0 for never. */
     readonly clearEvery: number;
 }
 
-/** What the router is told. @internal */
+/** The cache feedback that the router receives. @internal */
 export interface CacheFeedback {
     readonly name: string;
+    /** True when the cached blocks of each response are reported. */
     readonly answers: boolean;
+    /** True when load reports include cache figures. */
     readonly reports: boolean;
 }
 
 /** @internal */
 export interface CacheResult {
-    /** The share of shared blocks that were cached. */
+    /** The share of shared prompt blocks that were cached. */
     readonly hitShare: number;
-    /** Milliseconds. */
+    /** Mean time to first token, in milliseconds. */
     readonly firstTokenMean: number;
+    /** 95th percentile of the time to first token, in milliseconds. */
     readonly firstTokenP95: number;
     readonly requests: number;
 }
@@ -61,7 +64,8 @@
 ];
 
 /**
- * Runs one case: real routers before targets with prefix caches, on virtual time. The arrivals depend on the seed alone.
+ * Runs a case with real routers and simulated targets with prefix caches, on virtual time. The arrivals depend on the
+ * seed alone.
  *
  * @internal
  */
@@ -137,7 +141,7 @@
     return [...shared, ...Array.from({ length: ownBlocks }, (_, block) => `own.${request}.${block}`)];
 }
 
-/** Turns a number from 0 to 1 into the index of a prompt, the first being the most common. */
+/** Returns a function that maps a number from 0 to 1 to a Zipf-distributed index below `count`. */
 function zipf(count: number): (uniform: number) => number {
     const sums: number[] = [];
     let sum = 0;
--- a/packages/policy/src/bench/cacheFeedbackBench.ts
+++ b/packages/policy/src/bench/cacheFeedbackBench.ts
@@ -1,13 +1,13 @@
 import { cacheCases, cacheFeedbacks, runCacheFeedback } from "./cacheFeedback.js";
 
-/** Means over the seeds. */
+/** Means over all seeds. */
 interface Figures {
     readonly hits: number;
     readonly mean: number;
     readonly p95: number;
 }
 
-/** Seeds 1 to 3 served to choose the constants of the router, so the figures come from others. */
+/** Seeds 1 to 3 are excluded, since the router's constants are based on them. */
 const seeds = [11, 12, 13, 14, 15, 16];
 
 process.stdout.write(
@@ -34,7 +34,7 @@
     }
 }
 
-/** A figure with its ratio to that without feedback. */
+/** Formats a figure with its ratio to the figure without feedback. */
 function compared(value: number, base: number, digits: number): string {
     return `${value.toFixed(digits)} (${(value / base).toFixed(2)})`;
 }
--- a/packages/policy/src/bench/decisionCost.ts
+++ b/packages/policy/src/bench/decisionCost.ts
@@ -4,7 +4,7 @@
 import { createRouter } from "../lib/routing/createRouter.js";
 import { type RoutingTarget } from "../lib/routing/Router.js";
 
-/** The fleet to design for, with a target for each replica's stage. */
+/** Size of the largest fleet to support, with one target per stage of each replica. */
 const targetCount = 6700;
 const models = 5;
 const stages = 4;
@@ -14,28 +14,32 @@
 const blocks = 32;
 const warmUpRounds = 20_000;
 const rounds = 100_000;
-const nanoseconds = 1_000_000;
+const nanosecondsPerMillisecond = 1_000_000;
 
+/** Number of organisations that share the measured queue. */
 const organisations = 830;
 const queueSlots = 246;
 
-/** The cost of the decisions themselves, in real time. */
+/** The cost of routing and admission decisions, in real time. */
 export interface DecisionCost {
     readonly targets: number;
-    /** Milliseconds to take in a configuration of the whole fleet. */
+    /** Milliseconds to apply a configuration of the whole fleet. */
     readonly update: number;
-    /** Microseconds of one choice, its first token and its end. */
+    /** Microseconds to choose a chain and to process the first token and the end of the attempt; median. */
     readonly chooseMedian: number;
+    /** The 99th percentile of the same. */
     readonly choose99: number;
-    /** Bytes of heap that the router holds after the run. */
+    /** Heap usage of the router after the run, in bytes. */
     readonly heap: number;
-    /** Microseconds for an item to enter and leave a queue with {@link DecisionCost.waiting} others. */
+    /** Microseconds to add an item to a queue with {@link DecisionCost.waiting} others and to finish one; median. */
     readonly queueMedian: number;
+    /** The 99th percentile of the same. */
     readonly queue99: number;
+    /** Number of items in the queue during the measurement. */
     readonly waiting: number;
 }
 
-/** Measures the router before the whole fleet, and a full queue. @internal */
+/** Measures the router with the whole fleet, and a full queue. @internal */
 export function measureDecisionCost(seed: number): DecisionCost {
     return { ...measureRouter(seed), ...measureQueue() };
 }
@@ -57,7 +61,7 @@
         });
     let id = 0;
     while (offer(id++).isOk && queue.queued < 255) {
-        // Fills every slot and the queue but for one place.
+        // Fills all slots, and the queue except for one place.
     }
     const waiting = queue.queued;
     const histogram = build();
@@ -72,7 +76,7 @@
 
 function record(histogram: Histogram, spent: number, round: number): void {
     if (round >= warmUpRounds) {
-        histogram.recordValue(Math.round(spent * nanoseconds));
+        histogram.recordValue(Math.round(spent * nanosecondsPerMillisecond));
     }
 }
 
--- a/packages/policy/src/bench/fleet.ts
+++ b/packages/policy/src/bench/fleet.ts
@@ -4,19 +4,20 @@
 export const fleet = {
     region: "region-1",
     dataCentres: ["dc-1", "dc-2", "dc-3"],
-    /** Pipelines, each of two stages; as many as the sites of today have. */
+    /** Number of pipelines of two stages each; the size of a typical site. */
     pipelines: 40,
     layers: 40,
     activationBytes: 16_384,
     entries: 6,
     organisations: 10,
-    /** The mean time that a request holds its slot, in milliseconds, for turning slots into a rate. */
+    /** Mean time that a request holds its slot, in milliseconds; converts slots to a request rate. */
     meanHold: 3300,
 };
 
+/** Number of slots of a target at speed 1. */
 const slotsAtSpeed1 = 16;
 
-/** The targets of the benchmark: two stages, two kinds of accelerators, three data centres. @internal */
+/** Creates the targets of the benchmark: two stages, two kinds of accelerators, three data centres. @internal */
 export function createFleet(pipelines = fleet.pipelines): RoutingTarget[] {
     const targets: RoutingTarget[] = [];
     for (let index = 0; index < pipelines; index++) {
@@ -39,7 +40,7 @@
     return targets;
 }
 
-/** Requests per second that fill every slot of the first stage. @internal */
+/** Returns the requests per second that fill all slots of the first stage. @internal */
 export function capacityOf(targets: readonly RoutingTarget[]): number {
     const heads = targets.filter(target => target.holds[0]!.first === 0);
     return heads.reduce((sum, head) => sum + head.slots, 0) / fleet.meanHold * 1000;
--- a/packages/policy/src/bench/limitError.ts
+++ b/packages/policy/src/bench/limitError.ts
@@ -2,28 +2,29 @@
 import { createWorkQueue } from "../lib/admission/createWorkQueue.js";
 import { EventClock } from "./EventClock.js";
 
+/** Requests per second that each target's share of the limit allows. */
 const limitPerTarget = 2.5;
 const warmUp = 5000;
 const duration = 60_000;
 
-/** How far an organisation's rate limit is off when every target holds its part of it. */
+/** The deviation from an organisation's rate limit when each target enforces its share of it. */
 export interface LimitError {
     readonly targets: number;
     readonly burstSeconds: number;
-    /** What the organisation sends, against its limit. */
+    /** The rate that the organisation sends, relative to its limit. */
     readonly offered: number;
-    /** What is admitted, against what the limit allows of it. */
+    /** The number of admitted requests, relative to the number that the limit allows. */
     readonly admitted: number;
 }
 
-/** Measures the error for some bursts and loads. @internal */
+/** Measures the deviation for several bursts and loads. @internal */
 export function measureLimitErrors(seed: number): LimitError[] {
     const bursts = [1, 2, 5, 10];
     const loads = [0.7, 0.9, 1, 2];
     return bursts.flatMap(burstSeconds => loads.map(load => measureLimitError(40, burstSeconds, load, seed)));
 }
 
-/** Sends Poisson arrivals to targets at random, each of which admits its part of the limit. @internal */
+/** Sends Poisson arrivals to random targets, each of which enforces its share of the limit. @internal */
 export function measureLimitError(targets: number, burstSeconds: number, load: number, seed: number): LimitError {
     const clock = new EventClock();
     const random = seededRandom(seed);
--- a/packages/policy/src/bench/runBench.ts
+++ b/packages/policy/src/bench/runBench.ts
@@ -7,12 +7,14 @@
 
 /** The share of requests that must end within the bounds for a load to count as served. */
 const contractShare = 0.95;
+/** The range of loads that is searched. */
 const lowestLoad = 0.05;
 const highestLoad = 1.3;
-/** Halvings of the range of loads in the search for the highest one served; the last step is 0.02. */
+/** Number of bisection steps in the search for the highest load served; the last step is 0.02. */
 const searchSteps = 6;
-/** Cases whose highest load is searched for, and the pipelines of each fleet. */
+/** Cases whose highest load is searched for. */
 const searchCases = ["steady", "skewed prefixes", "slow replica", "slow link", "late reports"];
+/** Number of pipelines in a quick run. */
 const quickPipelines = 12;
 const searchPolicies = [
     ownPolicy(),
@@ -20,40 +22,45 @@
     ...fifoPolicies.filter(({ name }) => name.startsWith("round robin")),
 ];
 
-/** What one policy did in one case. */
+/** The result of one policy in one case. */
 export interface CaseResult {
     readonly benchCase: string;
     readonly policy: string;
-    /** Requests per second that were offered, and that ended within the bounds. */
+    /** Offered requests per second. */
     readonly offered: number;
+    /** Requests per second that ended within the bounds. */
     readonly goodput: number;
-    /** 95th percentiles in milliseconds, of the requests that got a token. */
+    /** 95th percentile of the time to first token, in milliseconds, over the requests that got a token. */
     readonly firstToken95: number;
+    /** 95th percentile of the time between tokens, in milliseconds. */
     readonly interval95: number;
+    /** The share of prompt blocks that were cached on every stage. */
     readonly cacheHits: number;
     readonly attempts: number;
     readonly retries: number;
     readonly refusals: number;
-    /** Seconds to recover, after a disturbance began and after it ended; undefined if not by the end of the run. */
+    /** Seconds to recover after the start of a disturbance; undefined without recovery during the run. */
     readonly recoveryAfterStart?: number;
+    /** Seconds to recover after the end of a disturbance; undefined without recovery during the run. */
     readonly recoveryAfterEnd?: number;
-    /** Goodput of the first organisation, and the mean of the others, in requests per second. */
+    /** Goodput of the first organisation, in requests per second. */
     readonly firstOrganisation: number;
+    /** Mean goodput of the other organisations, in requests per second. */
     readonly otherOrganisations: number;
-    /** The lowest share of good requests of any organisation but the first. */
+    /** The lowest share of good requests among the other organisations. */
     readonly worstShare: number;
 }
 
-/** The highest load that one policy serves within the tail bound. */
+/** The highest load that a policy serves within the tail bound. */
 export interface ThroughputResult {
     readonly benchCase: string;
     readonly policy: string;
     readonly pipelines: number;
-    /** Requests per second that end within the bounds, where at least 95 in 100 do; 0 if at no load. */
+    /** Goodput in requests per second at the highest load of which at least 95% ends within the bounds; 0 for none. */
     readonly throughput: number;
 }
 
-/** Everything that one run of the benchmark measures. */
+/** All results of a run of the benchmark. */
 export interface BenchResult {
     readonly seed: number;
     readonly quick: boolean;
@@ -66,12 +73,12 @@
 /** @internal */
 export interface BenchSettings {
     readonly seed: number;
-    /** Fewer pipelines and no search for the highest load. */
+    /** True for fewer pipelines and no search for the highest load. */
     readonly quick: boolean;
     readonly onProgress: (line: string) => void;
 }
 
-/** Runs every case under every policy. @internal */
+/** Runs all cases under all policies. @internal */
 export function runBench(settings: BenchSettings): BenchResult {
     const { seed, quick, onProgress } = settings;
     const pipelines = quick ? quickPipelines : undefined;
--- a/packages/policy/src/bench/sweeps.ts
+++ b/packages/policy/src/bench/sweeps.ts
@@ -3,13 +3,13 @@
 import { table } from "./benchReport.js";
 import { runCase } from "./runBench.js";
 
-/** One option, the values to try, and the cases that show its effect. */
+/** An option to vary, its values, and the cases that show its effect. */
 interface Sweep {
     readonly part: keyof PolicyOverrides;
     readonly option: string;
     readonly values: readonly number[];
     readonly cases: readonly string[];
-    /** Other options of the same part that the sweep needs. */
+    /** Other options of the same part that are set during the sweep. */
     readonly with?: Readonly<Record<string, number>>;
 }
 
@@ -98,7 +98,7 @@
     { part: "budget", option: "trickle", values: [0, 0.1, 1], cases: ["third lost", "burst 3x"] },
 ];
 
-/** Runs the sweeps of some options, or of all, and renders each as a Markdown table. @internal */
+/** Runs the sweeps of the given options, or all sweeps, and renders each as a Markdown table. @internal */
 export function runSweeps(
     options: readonly string[] | "all",
     seeds: readonly number[],
@@ -118,7 +118,10 @@
     }
 }
 
-/** The share of good requests over some seeds, and where organisations matter the worst of the well-behaved ones. */
+/**
+ * Renders the share of good requests over the seeds. Adds the lowest share among the other organisations in cases with
+ * a greedy one, and the mean number of retries in sweeps of the retry budget.
+ */
 function cell(sweep: Sweep, value: number, benchCase: BenchCase, seeds: readonly number[]): string {
     const policy = ownPolicy({ [sweep.part]: { ...sweep.with, [sweep.option]: value } });
     const results = seeds.map(seed => runCase(benchCase, policy, seed));
