--- a/packages/policy/src/lib/health/DataCentreWatch.ts
+++ b/packages/policy/src/lib/health/DataCentreBreaker.ts
@@ -22,7 +22,7 @@
  *
  * @internal
  */
-export class DataCentreWatch {
+export class DataCentreBreaker {
     private readonly records = new Map<string, DataCentreRecord>();
 
     constructor(private readonly clock: Clock) {}
--- a/packages/policy/src/lib/routing/CandidateSampler.ts
+++ b/packages/policy/src/lib/routing/CandidateSampler.ts
@@ -1,5 +1,5 @@
 import { type Random } from "@waxwingspar/utils";
-import { type DataCentreWatch } from "../health/DataCentreWatch.js";
+import { type DataCentreBreaker } from "../health/DataCentreBreaker.js";
 import { type RangeGroup } from "./RangeGroup.js";
 import { type TargetState } from "./TargetState.js";
 
@@ -11,7 +11,7 @@
 export class CandidateSampler {
     constructor(
         private readonly random: Random,
-        private readonly dataCentres: DataCentreWatch,
+        private readonly dataCentres: DataCentreBreaker,
         private readonly choices: number,
     ) {}
 
--- a/packages/policy/src/lib/routing/createRouter.ts
+++ b/packages/policy/src/lib/routing/createRouter.ts
@@ -1,7 +1,7 @@
 import { type LoadReport } from "@waxwingspar/transport";
 import { failure, type Outcome, requestCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { DataCentreWatch } from "../health/DataCentreWatch.js";
+import { DataCentreBreaker } from "../health/DataCentreBreaker.js";
 import { findSlowTargets, mayEject } from "../health/SlowTargetDetector.js";
 import { CandidateSampler } from "./CandidateSampler.js";
 import { type AttemptObserver, ChainAttempt } from "./ChainAttempt.js";
@@ -29,7 +29,7 @@
     private readonly costs: CostModel;
     private readonly prefixes: PrefixIndex;
     private readonly learner: LatencyLearner;
-    private readonly dataCentres: DataCentreWatch;
+    private readonly dataCentres: DataCentreBreaker;
     private readonly planner: RequestPlanner;
     /** Targets that are ejected, unreachable or being probed. */
     private readonly unavailable = new Set<TargetState>();
@@ -40,7 +40,7 @@
         this.costs = new CostModel(options);
         this.prefixes = new PrefixIndex(options);
         this.learner = new LatencyLearner(this.costs);
-        this.dataCentres = new DataCentreWatch(options.clock);
+        this.dataCentres = new DataCentreBreaker(options.clock);
         const sampler = new CandidateSampler(options.random, this.dataCentres, options.choices);
         this.planner = new RequestPlanner(options, this.table, this.costs, sampler);
     }
