--- a/packages/gateway/src/lib/requests/LinkWatch.ts
+++ b/packages/gateway/src/lib/requests/LinkWatch.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@waxwingspar/utils";
 import { type Observation } from "../observation/Observation.js";
 
-/** Options of {@link LinkWatch}. */
+/** Options of {@link CallerLinkMonitor}. */
 export interface LinkWatchOptions {
     readonly clock: Clock;
     readonly observation: Observation;
--- a/packages/gateway/src/lib/requests/RepeatBudget.ts
+++ b/packages/gateway/src/lib/requests/RepeatBudget.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@waxwingspar/utils";
 import { budgetShare, type Precedence } from "./precedence.js";
 
-/** Options of {@link RepeatBudget}. */
+/** Options of {@link RetryBudget}. */
 export interface RepeatBudgetOptions {
     readonly clock: Clock;
     /** Length of the sliding window in milliseconds. */
