--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -23,8 +23,8 @@
 import { watchRole } from "./peers/watchRole.js";
 import { writeRefusal } from "./requests/CallerExchange.js";
 import { type WireFormat } from "./requests/messages.js";
-import { RepeatBudget } from "./requests/RepeatBudget.js";
 import { RequestRouter, type ServiceParts } from "./requests/RequestRouter.js";
+import { RetryBudget } from "./requests/RetryBudget.js";
 import { StartQueue } from "./requests/StartQueue.js";
 import { CallerServer } from "./server/CallerServer.js";
 import { ReadinessServer } from "./server/ReadinessServer.js";
@@ -373,7 +373,7 @@
                     isOn,
                     observation: this.observation,
                 }),
-                budget: new RepeatBudget({
+                budget: new RetryBudget({
                     clock,
                     window: settings.retryWindow,
                     share: settings.retryShare,
--- a/packages/gateway/src/lib/requests/AttemptLimits.ts
+++ b/packages/gateway/src/lib/requests/AttemptLimits.ts
@@ -1,12 +1,12 @@
 import { type Precedence } from "./precedence.js";
-import { type RepeatBudget } from "./RepeatBudget.js";
+import { type RetryBudget } from "./RetryBudget.js";
 
 /** What is known about a send that ended without a reply. The first two guarantee that the request was not executed. */
 export type AttemptEnd = "neverSent" | "neverExecuted" | "unknown";
 
 /** Options of {@link AttemptLimits}. */
 export interface AttemptLimitsOptions {
-    readonly budget: Pick<RepeatBudget, "mayRetry" | "take" | "giveBack">;
+    readonly budget: Pick<RetryBudget, "mayRetry" | "take" | "giveBack">;
     /** Maximum number of targets that the route allows per request. */
     readonly maxAttempts: number;
 }
--- a/packages/gateway/src/lib/requests/CallerExchange.ts
+++ b/packages/gateway/src/lib/requests/CallerExchange.ts
@@ -3,8 +3,8 @@
 import { type Organisation, type Route } from "../configuration/Configuration.js";
 import { type Target } from "../directory/Target.js";
 import { type Observation } from "../observation/Observation.js";
+import { type CallerLinkMonitor } from "./CallerLinkMonitor.js";
 import { Delivery } from "./Delivery.js";
-import { type LinkWatch } from "./LinkWatch.js";
 import { type CallerRequest } from "./messages.js";
 import { requestDigest } from "./requestDigest.js";
 
@@ -19,7 +19,7 @@
     readonly arrivedAt: number;
     readonly body: Buffer | undefined;
     readonly observation: Observation;
-    readonly link: LinkWatch;
+    readonly link: CallerLinkMonitor;
     /** Version of the configuration that the request was routed and authenticated by. */
     readonly configurationVersion: number;
 }
--- a/packages/gateway/src/lib/requests/LinkWatch.test.ts
+++ b/packages/gateway/src/lib/requests/CallerLinkMonitor.test.ts
@@ -4,12 +4,12 @@
 import { test } from "node:test";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { silentLogs } from "../testing/fixtures.js";
-import { LinkWatch } from "./LinkWatch.js";
+import { CallerLinkMonitor } from "./CallerLinkMonitor.js";
 
 function createWatch() {
     const clock = new ManualClock();
     const registry = new MetricRegistry(clock);
-    const watch = new LinkWatch({
+    const watch = new CallerLinkMonitor({
         clock,
         observation: { logs: silentLogs(), metrics: new GatewayMetrics(registry) },
     });
--- a/packages/gateway/src/lib/requests/LinkWatch.ts
+++ b/packages/gateway/src/lib/requests/CallerLinkMonitor.ts
@@ -2,7 +2,7 @@
 import { type Observation } from "../observation/Observation.js";
 
 /** Options of {@link CallerLinkMonitor}. */
-export interface LinkWatchOptions {
+export interface CallerLinkMonitorOptions {
     readonly clock: Clock;
     readonly observation: Observation;
 }
@@ -15,12 +15,12 @@
 const window = 2_000;
 
 /** Detects that answers are delayed by this host's own network link and not by a target. */
-export class LinkWatch {
+export class CallerLinkMonitor {
     /** Time of the last delayed chunk, by answer. */
     private readonly delayedAnswers = new Map<unknown, number>();
     private isCongested = false;
 
-    constructor(private readonly options: LinkWatchOptions) {}
+    constructor(private readonly options: CallerLinkMonitorOptions) {}
 
     /** Records the milliseconds until a chunk was flushed. Any unique value may identify the answer. */
     recordWait(answer: unknown, wait: number): void {
--- a/packages/gateway/src/lib/requests/RequestContext.ts
+++ b/packages/gateway/src/lib/requests/RequestContext.ts
@@ -4,14 +4,14 @@
 import { type Observation } from "../observation/Observation.js";
 import { type ExchangeOptions, type OpenExchange } from "../upstream/Exchange.js";
 import { type WireFormat } from "./messages.js";
-import { type RepeatBudget } from "./RepeatBudget.js";
+import { type RetryBudget } from "./RetryBudget.js";
 
 /** Dependencies shared by all runs of requests. */
 export interface RequestContext {
     readonly clock: Clock;
     readonly wire: WireFormat;
     readonly observation: Observation;
-    readonly budget: RepeatBudget;
+    readonly budget: RetryBudget;
     /** Maximum milliseconds until a connection to a target is established: several round trips and a lost packet. */
     readonly connectTimeout: number;
     readonly crashes: Pick<CrashParts, "watch" | "guard">;
--- a/packages/gateway/src/lib/requests/RequestRouter.ts
+++ b/packages/gateway/src/lib/requests/RequestRouter.ts
@@ -9,17 +9,17 @@
 import { type ServicePicker } from "../services/ServicePicker.js";
 import { Exchange, type ExchangeOptions } from "../upstream/Exchange.js";
 import { CallerExchange, writeRefusal } from "./CallerExchange.js";
-import { LinkWatch } from "./LinkWatch.js";
+import { CallerLinkMonitor } from "./CallerLinkMonitor.js";
 import { type CallerRequest, type WireFormat } from "./messages.js";
 import { PlainRun } from "./PlainRun.js";
-import { type RepeatBudget } from "./RepeatBudget.js";
+import { type RetryBudget } from "./RetryBudget.js";
 import { StreamRun } from "./StreamRun.js";
 
 /** Components that serve the requests for one service. */
 export interface ServiceParts {
     readonly picker: ServicePicker;
     readonly chains: ChainService | undefined;
-    readonly budget: RepeatBudget;
+    readonly budget: RetryBudget;
 }
 
 /** Options of {@link RequestRouter}. */
@@ -60,10 +60,10 @@
 
 /** Routes and authenticates each request by the configuration in force and starts the run for its service. */
 export class RequestRouter {
-    private readonly link: LinkWatch;
+    private readonly link: CallerLinkMonitor;
 
     constructor(private readonly options: RequestRouterOptions) {
-        this.link = new LinkWatch(options);
+        this.link = new CallerLinkMonitor(options);
     }
 
     /**
--- a/packages/gateway/src/lib/requests/RepeatBudget.test.ts
+++ b/packages/gateway/src/lib/requests/RetryBudget.test.ts
@@ -2,13 +2,13 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RepeatBudget } from "./RepeatBudget.js";
+import { RetryBudget } from "./RetryBudget.js";
 
 const window = 10_000;
 
 function createBudget(gateways = 5) {
     const clock = new ManualClock();
-    return { clock, budget: new RepeatBudget({ clock, window, share: 0.2, reserve: 200, gateways: () => gateways }) };
+    return { clock, budget: new RetryBudget({ clock, window, share: 0.2, reserve: 200, gateways: () => gateways }) };
 }
 
 test("the reserve is shared by all gateways", () => {
--- a/packages/gateway/src/lib/requests/RepeatBudget.ts
+++ b/packages/gateway/src/lib/requests/RetryBudget.ts
@@ -2,7 +2,7 @@
 import { budgetShare, type Precedence } from "./precedence.js";
 
 /** Options of {@link RetryBudget}. */
-export interface RepeatBudgetOptions {
+export interface RetryBudgetOptions {
     readonly clock: Clock;
     /** Length of the sliding window in milliseconds. */
     readonly window: number;
@@ -21,11 +21,11 @@
  * Limits the retries that one gateway sends to one service in any window. Each gateway may use the share of its own
  * requests and an equal part of the reserve, so the limit over all gateways holds without coordination.
  */
-export class RepeatBudget {
+export class RetryBudget {
     private readonly requests: number[] = [];
     private readonly retries: number[] = [];
 
-    constructor(private readonly options: RepeatBudgetOptions) {}
+    constructor(private readonly options: RetryBudgetOptions) {}
 
     /** Counts a request of a caller. */
     request(): void {
--- a/packages/gateway/src/lib/testing/SimulatedRouter.ts
+++ b/packages/gateway/src/lib/testing/SimulatedRouter.ts
@@ -10,10 +10,10 @@
 import { allMechanisms } from "../Mechanisms.js";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { CallerExchange } from "../requests/CallerExchange.js";
-import { LinkWatch } from "../requests/LinkWatch.js";
+import { CallerLinkMonitor } from "../requests/CallerLinkMonitor.js";
 import { type WireFormat } from "../requests/messages.js";
-import { RepeatBudget } from "../requests/RepeatBudget.js";
 import { type RequestContext } from "../requests/RequestContext.js";
+import { RetryBudget } from "../requests/RetryBudget.js";
 import { StreamRun } from "../requests/StreamRun.js";
 import { type Store } from "../store/Store.js";
 import { silentLogs, testEngine, wellReport } from "./fixtures.js";
@@ -105,7 +105,7 @@
             clock,
             wire,
             observation,
-            budget: new RepeatBudget({ clock, window: 10_000, share: 0.2, reserve: retryReserve ?? 202, gateways }),
+            budget: new RetryBudget({ clock, window: 10_000, share: 0.2, reserve: retryReserve ?? 202, gateways }),
             connectTimeout: 450,
             crashes: this.crashes,
             openExchange: exchange => targetAt(exchange.port).open(exchange),
@@ -137,7 +137,7 @@
             arrivedAt: clock.now(),
             body: Buffer.from(body),
             observation,
-            link: new LinkWatch({ clock, observation }),
+            link: new CallerLinkMonitor({ clock, observation }),
             configurationVersion: 1,
         });
         new StreamRun(this.context, caller, this.chains).start();
