--- a/packages/gateway/src/lib/chains/Chain.ts
+++ b/packages/gateway/src/lib/chains/Chain.ts
@@ -1,16 +1,16 @@
 import { type Hop } from "../requests/messages.js";
 
-/** Targets that together run every layer once and in order. */
+/** A sequence of targets that together run every layer exactly once and in order. */
 export interface Chain {
-    /** The targets and ranges as one text. */
+    /** Identifies the chain: its targets, their incarnations and their layer ranges. */
     readonly key: string;
     /** The data centre of the first target. */
     readonly dataCentre: string;
-    /** How often a request's activations go from one data centre to another. */
+    /** Number of hops from one data centre to another. */
     readonly crossings: number;
-    /** Usual requests whose KV cache all its targets have room for. */
+    /** Number of average requests whose KV cache fits into the memory of every target. */
     readonly room: number;
-    /** How many times longer than its accelerator should the slowest of its targets takes. */
+    /** Slowdown of its slowest target: the ratio of its step time to the expected time of its accelerator. */
     readonly slowdown: number;
     readonly hops: readonly Hop[];
 }
--- a/packages/gateway/src/lib/chains/ChainRouter.test.ts
+++ b/packages/gateway/src/lib/chains/ChainRouter.test.ts
@@ -33,18 +33,18 @@
     return { directory, suspicions, paces, peerLoads, router, hops };
 }
 
-test("the chain of the own data centre comes first", () => {
+test("the chain of the own data centre is preferred", () => {
     const { hops } = createRouter();
     assert.deepEqual(hops(), ["t1", "t2"]);
 });
 
-test("a whole chain elsewhere comes before one between data centres", () => {
+test("a complete chain in another data centre is preferred to a chain between data centres", () => {
     const { suspicions, hops } = createRouter();
     suspicions.suspect("t2", "lost", 1_000);
     assert.deepEqual(hops(), ["t3", "t4"]);
 });
 
-test("no whole chain anywhere: one between data centres", () => {
+test("when no data centre has a complete chain, a chain between data centres is used", () => {
     const { suspicions, router, hops } = createRouter();
     suspicions.suspect("t1", "lost", 1_000);
     suspicions.suspect("t4", "lost", 1_000);
@@ -52,14 +52,14 @@
     assert.equal(router.current(testEngine)[0]?.chain.crossings, 1);
 });
 
-test("a range that nobody holds: no chain", () => {
+test("there is no chain when no target holds a range", () => {
     const { suspicions, hops } = createRouter();
     suspicions.suspect("t2", "lost", 1_000);
     suspicions.suspect("t4", "lost", 1_000);
     assert.equal(hops(), undefined);
 });
 
-test("a chain that is full comes after one with room, though it is nearer", () => {
+test("a remote chain with room is preferred to a full local chain", () => {
     const { peerLoads, router, hops } = createRouter();
     const room = router.current(testEngine)[0]?.chain.room ?? 0;
     assert.ok(room >= 1 && room < testEngine.slots);
@@ -68,7 +68,7 @@
     assert.deepEqual(hops(), ["t3", "t4"]);
 });
 
-test("a whole chain that is full: one between data centres, beside its targets", () => {
+test("when the complete chain is full, a chain between data centres over other targets is used", () => {
     const { directory, peerLoads, suspicions, router, hops } = createRouter();
     directory.put(testTarget("t5", "large", { first: 0, end: 40 }, "z"));
     suspicions.suspect("t2", "lost", 1_000);
@@ -79,7 +79,7 @@
     assert.deepEqual(hops(), ["t1", "t6"]);
 });
 
-test("a chain with a slow target comes after a sound one elsewhere, until that carries more", () => {
+test("a chain with a slow target is avoided until a healthy remote chain carries more requests", () => {
     const { paces, peerLoads, hops } = createRouter();
     paces.observe("t2", 3);
     assert.deepEqual(hops(), ["t3", "t4"]);
@@ -87,14 +87,14 @@
     assert.deepEqual(hops(), ["t1", "t2"]);
 });
 
-test("a second copy takes the range of a slow target", () => {
+test("a standby replaces a slow target", () => {
     const { directory, paces, hops } = createRouter();
     directory.put(testTarget("t9", "large", { first: 40, end: 80 }));
     paces.observe("t2", 3);
     assert.deepEqual(hops(), ["t1", "t9"]);
 });
 
-/** Lets streams of a lost chain go on, all at the same moment. @returns How many went to each data centre. */
+/** Resumes the streams of a lost chain at the same time. @returns The number of streams by data centre. */
 function resumeStreams(count: number, choose: (router: ChainRouter) => ChainLoad | undefined): Map<string, number> {
     const { router } = createRouter();
     const spread = new Map<string, number>();
@@ -107,7 +107,7 @@
     return spread;
 }
 
-test("streams that all look for another chain at once are read by all chains alike, not one after the other by the nearest", () => {
+test("streams that are resumed at the same time are spread over all chains, unlike new requests", () => {
     const resumed = resumeStreams(4, router => router.chooseToResume(testEngine, none));
     assert.deepEqual([...resumed.values()], [2, 2]);
     const asNewRequests = resumeStreams(4, router => router.chooseWell(testEngine, none));
--- a/packages/gateway/src/lib/chains/ChainRouter.ts
+++ b/packages/gateway/src/lib/chains/ChainRouter.ts
@@ -12,70 +12,72 @@
 export interface ChainRouterOptions {
     readonly clock: Clock;
     readonly service: string;
-    /** The data centre of this process, which is preferred. */
+    /** The data centre of this process, whose chains are preferred. */
     readonly dataCentre: string;
     readonly directory: TargetDirectory;
     readonly suspicions: TargetSuspicions;
     readonly paces: TargetPaces;
-    /** Requests of other processes in flight on chains that begin at a target. */
+    /** Number of requests that other processes have in flight on chains whose first target has this id. */
     readonly peerLoad: (headId: string) => number;
-    /** Called with the chain that now begins in a data centre, or none, when another one did before. */
     readonly isOn?: MechanismSwitch;
+    /** Called when the chain that begins in a data centre has changed; `chain` is undefined when there is none now. */
     readonly onChange?: (dataCentre: string, chain: Chain | undefined) => void;
 }
 
-/** A chain in use by requests of this process. */
+/** A chain and the requests of this process on it. */
 export interface ChainLoad {
-    /** The same targets and ranges for good; its room and slowdown as last known. */
+    /** Its targets and ranges never change; its room and slowdown are updated with each rebuild. */
     chain: Chain;
     inFlight: number;
-    /** Requests whose first event has come. */
+    /** Requests that have received their first event. */
     streaming: number;
-    /** When any request on the chain last got an event. */
+    /** When any request on the chain last received an event. */
     lastEventAt: number;
-    /** Mean milliseconds between two events of one stream of late; undefined until some were seen. */
+    /** Moving average of the milliseconds between two events of a stream; undefined before the first interval. */
     eventInterval: number | undefined;
-    /** Looks at its targets that found nothing wrong. */
+    /** Number of consecutive surveys that found no silent target. */
     falseAlarms: number;
-    /** Until when the chain gets no new requests, because its requests stalled. */
+    /** Until when the chain gets no new requests, because its streams stalled. */
     avoidedUntil: number;
 }
 
 /**
- * A chain of the own data centre is preferred until it has so many more requests in flight than another one. Half of
- * what a chain carries on a usual day: less would send bytes between data centres for nothing, more leaves one chain
- * at its limit beside idle ones when callers move.
+ * Cost of a chain in another data centre, in requests in flight. It is half of the load of a chain under normal
+ * conditions: a lower value causes needless traffic between data centres, a higher one leaves chains idle beside a
+ * saturated local one when callers move.
  */
 const localAdvantage = 20;
 /**
- * What a hop between data centres counts for, in requests. Chosen: whole chains come first until they are nearly full, since
- * a request's activations take 25 ms (reckoned) of a pipe for each such hop.
+ * Cost of each hop between data centres, in requests in flight. Chains within one data centre are preferred until they
+ * are nearly full, since the activations of a request occupy the link between data centres for 25 ms per hop.
  */
-const crossingDisadvantage = 30;
+const crossingPenalty = 30;
 /**
- * What each request beyond the room of a chain counts for, so that chains with room come first. Requests beyond it wait, or
- * push others out. On a played day with lost targets the served share of the worth rose from 0.774 to 0.893 with this and with
- * second copies of ranges that are short of room.
+ * Cost of each request beyond the room of a chain, in requests in flight, so that chains with room are preferred.
+ * Excess requests are queued or evict the KV cache of others. On a simulated day with lost targets, the served share of
+ * the total request value rose from 0.774 to 0.893 with this cost and standbys for ranges that are short of memory.
  */
 const excessCost = 10;
 /**
- * What each prompt of this process that waits on a chain counts for when a stream looks for a chain to go on: the streams of a
- * lost target come all at once, and a chain reads one prompt after the other.
+ * Cost of each prompt of this process that a chain has yet to process, in requests in flight, when a stream is resumed:
+ * all streams of a lost target move at the same time, and a chain processes prompts one after the other.
  */
-const readingCost = 10;
+const pendingPromptCost = 10;
 /**
- * What a chain counts for, in requests, for each time that its slowest target takes longer than it should. Chosen: one at
- * half its speed makes all requests on the chain wait, so it is avoided while another chain carries twice as many.
+ * Cost of a chain, in requests in flight, for each multiple of the expected step time by which its slowest target
+ * exceeds it. A target at half its speed delays all requests on the chain, so the chain is avoided until another one
+ * carries twice as many requests.
  */
-const slownessDisadvantage = 40;
+const slownessPenalty = 40;
 
 /**
- * Chains through targets of several data centres, for the seconds in which some have no whole chain of their own: one that
- * begins in each of these, so that they share the pipes, of those with the fewest hops from one to another. They leave the
- * targets of whole chains alone, which have no room to spare then. Where a target of each of three data centres was lost at
- * once, 180 requests were refused without them.
+ * Builds chains through several data centres, for the seconds in which some of them have no complete chain of their
+ * own. Each of these data centres gets a chain that begins there, which spreads the load over the links; only chains
+ * with the fewest hops between data centres are returned. The targets of complete chains are left out, since they have
+ * no capacity to spare. Without mixed chains, 180 requests were refused when three data centres lost a target each at
+ * the same time.
  */
-function mixedChains(
+function buildMixedChains(
     dataCentres: readonly string[],
     whole: readonly Chain[],
     targets: readonly Target[],
@@ -91,13 +93,11 @@
     return chains.filter(({ crossings }) => crossings === fewest);
 }
 
-/**
- * Knows the best chain of each data centre for one service, and how many requests of this process are on it.
- */
+/** Maintains the best chain of each data centre for one service and balances requests over these chains by cost. */
 export class ChainRouter {
     private chains: ChainLoad[] = [];
     private readonly loads = new Map<string, ChainLoad>();
-    private builtFor = "";
+    private builtState = "";
     private readonly isOn: MechanismSwitch;
 
     constructor(private readonly options: ChainRouterOptions) {
@@ -107,29 +107,29 @@
     /**
      * Chooses the chain for a request.
      *
-     * @param excluded - Keys of chains that failed the request.
-     * @returns Undefined when no data centre has a chain that may be used.
+     * @param excluded - Keys of chains on which the request has failed.
+     * @returns The chain with the lowest cost; undefined when every chain is excluded or there is none.
      */
     choose(engine: Engine, excluded: ReadonlySet<string>): ChainLoad | undefined {
         const loads = this.current(engine).filter(({ chain }) => !excluded.has(chain.key));
         return cheapest(loads, load => this.cost(load));
     }
 
-    /** The same, but none that is avoided. */
+    /** Like {@link ChainRouter.choose}, but leaves out chains that are avoided after a stall. */
     chooseWell(engine: Engine, excluded: ReadonlySet<string>): ChainLoad | undefined {
         const now = this.options.clock.now();
-        const well = this.current(engine).filter(load => load.avoidedUntil <= now);
-        return cheapest(well.filter(({ chain }) => !excluded.has(chain.key)), load => this.cost(load));
+        const healthy = this.current(engine).filter(load => load.avoidedUntil <= now);
+        return cheapest(healthy.filter(({ chain }) => !excluded.has(chain.key)), load => this.cost(load));
     }
 
     /**
-     * The best chain for a stream that broke off, which its caller should see go on within a fifth of a second: one on which
-     * few of this process's prompts wait to be read, wherever it is.
+     * Chooses the chain for an interrupted stream, which should resume within 200 ms. It prefers chains with few
+     * pending prompts of this process, regardless of their data centre.
      */
     chooseToResume(engine: Engine, excluded: ReadonlySet<string>): ChainLoad | undefined {
         const now = this.options.clock.now();
-        const well = this.current(engine).filter(load => load.avoidedUntil <= now && !excluded.has(load.chain.key));
-        return cheapest(well, load => this.isOn("resume-spread") ? this.resumeCost(load) : this.cost(load));
+        const healthy = this.current(engine).filter(load => load.avoidedUntil <= now && !excluded.has(load.chain.key));
+        return cheapest(healthy, load => this.isOn("resume-spread") ? this.resumeCost(load) : this.cost(load));
     }
 
     /** Whether a chain has room for one more request. */
@@ -137,19 +137,21 @@
         return this.requestsOn(chain) + 1 <= chain.room;
     }
 
-    /** The chains as they are now, one that begins in each data centre at most. */
+    /**
+     * Returns the current chains, at most one for each data centre; rebuilds them when targets or slowdowns changed.
+     */
     current(engine: Engine): ChainLoad[] {
         const { directory, suspicions, paces } = this.options;
         const suspected = suspicions.list();
         const state = `${directory.revision} ${suspected.join()} ${paces.fingerprint} ${engine.layers}`;
-        if (state !== this.builtFor) {
-            this.builtFor = state;
+        if (state !== this.builtState) {
+            this.builtState = state;
             this.rebuild(engine, new Set(suspected));
         }
         return this.chains;
     }
 
-    /** Requests of this process in flight, by the first target of their chain. */
+    /** Returns the number of requests that this process has in flight, by the first target of their chain. */
     headLoads(): [string, number][] {
         return [...this.loads.values()]
             .filter(({ inFlight }) => inFlight > 0)
@@ -167,18 +169,18 @@
             const chain = buildChain(dataCentre, ofDataCentre, engine, slowdown);
             return chain === undefined ? [] : [chain];
         });
-        const mixed = this.isOn("mixed-chains") ? mixedChains(dataCentres, local, targets, engine, slowdown) : [];
+        const mixed = this.isOn("mixed-chains") ? buildMixedChains(dataCentres, local, targets, engine, slowdown) : [];
         const chains = [...local, ...mixed];
         for (const [key, load] of this.loads) {
             if (load.inFlight === 0 && chains.every(chain => chain.key !== key)) {
                 this.loads.delete(key);
             }
         }
-        this.tellChanges(chains);
-        this.chains = chains.map(chain => this.loadOf(chain));
+        this.reportChanges(chains);
+        this.chains = chains.map(chain => this.getOrCreateLoad(chain));
     }
 
-    private tellChanges(chains: readonly Chain[]): void {
+    private reportChanges(chains: readonly Chain[]): void {
         const before = new Map(this.chains.map(({ chain }) => [chain.dataCentre, chain]));
         const after = new Map(chains.map(chain => [chain.dataCentre, chain]));
         for (const dataCentre of new Set([...before.keys(), ...after.keys()])) {
@@ -188,7 +190,7 @@
         }
     }
 
-    private loadOf(chain: Chain): ChainLoad {
+    private getOrCreateLoad(chain: Chain): ChainLoad {
         const known = this.loads.get(chain.key);
         if (known !== undefined) {
             known.chain = chain;
@@ -213,23 +215,23 @@
     }
 
     private resumeCost({ chain, inFlight, streaming }: ChainLoad): number {
-        return this.loadCost(chain) + (inFlight - streaming) * readingCost;
+        return this.loadCost(chain) + (inFlight - streaming) * pendingPromptCost;
     }
 
     private loadCost(chain: Chain): number {
         const requests = this.requestsOn(chain);
         const excess = this.isOn("chain-room") ? Math.max(0, requests + 1 - chain.room) : 0;
-        const slowness = (chain.slowdown - 1) * slownessDisadvantage;
-        return requests + excess * excessCost + chain.crossings * crossingDisadvantage + slowness;
+        const slowness = (chain.slowdown - 1) * slownessPenalty;
+        return requests + excess * excessCost + chain.crossings * crossingPenalty + slowness;
     }
 
-    /** Requests of all gateways on chains that begin at the same target. */
+    /** Counts the requests of all gateways on chains that begin at the same target. */
     private requestsOn({ hops }: Chain): number {
         const head = hops[0]?.targetId ?? "";
         return this.headLoad(head) + this.options.peerLoad(head);
     }
 
-    /** Requests of this process on all chains that begin at a target, also on those that were rebuilt meanwhile. */
+    /** Counts the requests of this process on all chains that begin at a target, including replaced chains. */
     private headLoad(head: string): number {
         let sum = 0;
         for (const { chain, inFlight } of this.loads.values()) {
@@ -243,10 +245,10 @@
     let best: ChainLoad | undefined;
     let bestCost = Infinity;
     for (const load of loads) {
-        const itsCost = cost(load);
-        if (itsCost < bestCost) {
+        const candidateCost = cost(load);
+        if (candidateCost < bestCost) {
             best = load;
-            bestCost = itsCost;
+            bestCost = candidateCost;
         }
     }
     return best;
--- a/packages/gateway/src/lib/chains/ChainService.test.ts
+++ b/packages/gateway/src/lib/chains/ChainService.test.ts
@@ -39,7 +39,7 @@
     return { clock, directory, suspicions, reports, service, load };
 }
 
-test("a target that refuses though it has room is avoided for a while, but its layers stay", async () => {
+test("a target that refuses a request although it has room is avoided, but does not count as lost", async () => {
     const { clock, suspicions, service, load } = createService();
     service.refused(load, 503, "127.0.0.1:1002");
     await clock.advanceAsync(10);
@@ -49,7 +49,7 @@
     assert.equal(suspicions.has("t2"), false);
 });
 
-test("a full target is avoided for a moment only", async () => {
+test("a full target is avoided only briefly", async () => {
     const { clock, suspicions, reports, service, load } = createService();
     reports.set(1_002, { ...wellReport, cacheUse: 0.95 });
     service.refused(load, 503, "127.0.0.1:1002");
@@ -59,7 +59,7 @@
     assert.equal(suspicions.has("t2"), false);
 });
 
-test("a target without a report is lost until it gives one", async () => {
+test("a target that gives no report counts as lost until it gives one", async () => {
     const { clock, suspicions, reports, service, load } = createService();
     reports.delete(1_002);
     service.refused(load, 503, "127.0.0.1:1002");
@@ -70,7 +70,7 @@
     assert.equal(suspicions.has("t2"), false);
 });
 
-test("a target that others wait for in vain is lost", async () => {
+test("a target that stalls others counts as lost", async () => {
     const { clock, suspicions, reports, service, load } = createService();
     reports.set(1_001, { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
     service.broke(load, false);
@@ -78,7 +78,9 @@
     assert.equal(suspicions.isLost("t2"), true);
 });
 
-/** Begins two streams on a chain, which have just got an event. @returns Why they left it, in their order. */
+/**
+ * Starts two streams on a chain and records an event. @returns The reasons for which they leave the chain, in order.
+ */
 function beginStreams({ service, load }: Pick<ReturnType<typeof createService>, "service" | "load">): string[] {
     const left: string[] = [];
     ["a", "b"].forEach(() => {
@@ -89,7 +91,7 @@
     return left;
 }
 
-test("a chain whose targets all answer may be slow: its streams stay, but not for good", async () => {
+test("streams stay on a silent chain whose targets all answer until it counts as stalled", async () => {
     const { clock, service, load } = createService();
     const left = beginStreams({ service, load });
     await clock.advanceAsync(590);
@@ -98,7 +100,7 @@
     assert.deepEqual(left, ["chain stalled", "chain stalled"]);
 });
 
-test("streams leave a chain as soon as one of its targets names another one that it waits for", async () => {
+test("streams leave a chain as soon as one of its targets reports that another one stalls it", async () => {
     const { clock, reports, service, load } = createService();
     const left = beginStreams({ service, load });
     reports.set(1_001, { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
@@ -106,7 +108,7 @@
     assert.deepEqual(left, ["127.0.0.1:1002 stalls others", "127.0.0.1:1002 stalls others"]);
 });
 
-test("a chain of fast streams is looked at after a shorter silence", async () => {
+test("a chain of fast streams is surveyed after a shorter silence", async () => {
     const { clock, reports, service, load } = createService();
     const left = beginStreams({ service, load });
     service.event(load, 25);
@@ -115,7 +117,7 @@
     assert.deepEqual(left, ["127.0.0.1:1002 is silent", "127.0.0.1:1002 is silent"]);
 });
 
-test("silence says nothing after this process itself stood still", async () => {
+test("silence is ignored after this process itself was paused", async () => {
     const { clock, service, load } = createService();
     const left = beginStreams({ service, load });
     await clock.advanceAsync(40);
@@ -124,7 +126,7 @@
     assert.deepEqual(left, []);
 });
 
-test("a silent target is found, and its streams leave, before the whole chain counts as stalled", async () => {
+test("streams leave a silent target before the chain counts as stalled", async () => {
     const { clock, directory, reports, service, load } = createService();
     directory.put(testTarget("t3", "small", { first: 40, end: 80 }));
     reports.set(1_003, wellReport);
@@ -134,7 +136,7 @@
     assert.deepEqual(left, ["127.0.0.1:1002 is silent", "127.0.0.1:1002 is silent"]);
 });
 
-test("streams leave a chain whose target has started again, though it answers", async () => {
+test("streams leave a chain whose target has restarted, although it answers", async () => {
     const { clock, directory, service, load } = createService();
     const left = beginStreams({ service, load });
     directory.put({ ...testTarget("t2", "small", { first: 40, end: 80 }), startedAt: 5 });
@@ -143,7 +145,7 @@
     assert.notEqual(service.choose(new Set())?.chain.key, load.chain.key);
 });
 
-test("a look at an earlier start of a target blames the next for nothing", async () => {
+test("the inspection of an earlier incarnation of a target does not affect the next one", async () => {
     const { clock, directory, suspicions, reports, service, load } = createService();
     reports.delete(1_002);
     service.refused(load, 503, "127.0.0.1:1002");
@@ -152,7 +154,7 @@
     assert.equal(suspicions.isLost("t2"), false);
 });
 
-test("a report of a new start empties the target before its entry does", async () => {
+test("a report of a later start removes the layers of a target before its entry is updated", async () => {
     const { clock, directory, reports, service, load } = createService();
     directory.put({ ...testTarget("t2", "small", { first: 40, end: 80 }), startedAt: 5 });
     reports.set(1_002, { ...wellReport, startedAt: 6 });
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -12,17 +12,17 @@
 import { type TargetPaces } from "./TargetPaces.js";
 import { type TargetSuspicions } from "./TargetSuspicions.js";
 
-/** A request on chains, which can be told that one of them seems to fail. */
+/** A request on a chain, which is notified when the chain appears to have failed. */
 export interface ChainUser {
-    /** Goes on over another chain, if the request can and that one does. */
+    /** Moves the request to another chain, if it can be resumed and another chain is available. */
     leaveChain(load: ChainLoad, reason: string): void;
 }
 
-/** What a chain is judged by at some moment, in milliseconds. */
-export interface ChainEvidence {
-    /** Since the last event of any stream on it. */
+/** Log fields that describe the condition of a chain, in milliseconds. */
+export interface ChainDiagnostics {
+    /** Time since the last event of any stream on the chain. */
     readonly chainSilence: number;
-    /** How late the timers of this process ran of late. */
+    /** Recent delay of the timers of this process. */
     readonly loopDelay: number;
 }
 
@@ -41,48 +41,64 @@
     readonly observation: Observation;
 }
 
-/** Bounds of the milliseconds between two looks for silent chains: each takes processor time, and more gain nothing. */
-const stallCheck = { least: 8, most: 40 };
-/** Streams that must have begun on a chain before their silence together says something. */
-const stallStreams = 2;
 /**
- * Mean intervals between a stream's events without an event of any stream of a chain, after which its targets are looked at
- * while the streams stay. Each look that finds nothing makes it longer for this chain: a look is priced, and with 1.2 for
- * good a day cost 1,800 reports more, 0.004 of its worth.
+ * Bounds of the milliseconds between two checks for silent chains. Each check takes CPU time, and more frequent ones
+ * detect nothing earlier.
  */
-const surveyIntervals = { first: 1.2, step: 0.2, most: 2.2 };
-/** Bounds of that silence in milliseconds: jitter of the links, and what leaves time to go on within 200 ms. */
-const surveySilence = { least: 30, most: 70 };
+const checkDelayBounds = { min: 8, max: 40 };
+/** Number of streams that must have started on a chain before its silence is taken as a sign of a fault. */
+const minStallStreams = 2;
 /**
- * What each look that finds nothing adds to the upper bound: a process with few streams on a chain often hears nothing for
- * longer. 23 gateways together asked for 20,292 reports on a played day, 0.014 of its worth.
+ * Silence of a chain after which its targets are surveyed, as a multiple of the mean interval between a stream's
+ * events. The streams stay on the chain during the survey. Each survey that finds no fault raises the factor for this
+ * chain, since reports have a price: a constant factor of 1.2 takes 1,800 more of them on a simulated day, 0.004 of its
+ * request value.
  */
-const alarmSilence = 15;
-/** Weight of the newest interval in the mean. */
+const surveyFactor = { first: 1.2, step: 0.2, max: 2.2 };
+/**
+ * Bounds of the silence in milliseconds after which targets are surveyed. The lower one exceeds the jitter of the
+ * links; the upper one leaves time to resume the streams within 200 ms.
+ */
+const surveySilenceBounds = { min: 30, max: 70 };
+/**
+ * Milliseconds by which each survey without a fault raises the upper bound. A process with few streams on a chain often
+ * sees no event for longer: with a fixed bound, 23 gateways requested 20,292 reports on a simulated day, 0.014 of its
+ * request value.
+ */
+const falseAlarmSilence = 15;
+/** Weight of the newest interval in the moving average. */
 const intervalWeight = 0.05;
 /**
- * Milliseconds without an event of any stream of a chain that mean a stall, although all its targets answer. A slow chain is
- * silent for longer than a sound one, and streams that leave it have their prompts read again, which slows the others. On a
- * played day with five slow targets streams that left after 130 ms made others read 482,000 tokens again.
+ * Milliseconds without an event of any stream after which a chain counts as stalled, although all its targets answer. A
+ * slow chain is silent for longer than a healthy one, and the prompts of streams that leave it are processed again,
+ * which slows other chains: on a simulated day with five slow targets, a limit of 130 ms caused 482,000 tokens to be
+ * processed again.
  */
 const stallSilence = 600;
-/** The same without that patience: a few intervals of a sound chain. */
-const hastyStallSilence = 130;
+/** The same when the mechanism "stall-patience" is off: a few event intervals of a healthy chain, in milliseconds. */
+const shortStallSilence = 130;
 /**
- * The silence after which the targets of a chain between data centres are looked at, in milliseconds. Its tokens wait behind
- * the prompts of others on a pipe that all share; the figure is chosen: a prompt takes about 20 ms of it, and few are on it
- * at once.
+ * Milliseconds of silence after which the targets of a chain between data centres are surveyed. Its tokens queue behind
+ * the prompts of other requests on the shared link: a prompt takes about 20 ms, and few are on the link at the same
+ * time.
  */
 const crossingSilence = 400;
-/** A look that comes so late means that this process itself stood still, so silence proves nothing. */
-const lateCheck = 90;
-/** Milliseconds for which a stalled chain gets no new requests unless a look at its targets finds one at fault. */
-const stalledPause = 1_500;
-/** Milliseconds between two surveys of a chain: each is priced, and a lost range takes longer to come back. */
-const surveyPause = 500;
-const misdirected = 421;
+/**
+ * Milliseconds between two stall checks above which this process itself must have been paused, so that the silence of a
+ * chain is no evidence of a fault.
+ */
+const maxCheckPause = 90;
+/** Milliseconds for which a stalled chain gets no new requests, unless a survey finds a faulty target. */
+const stallAvoidanceTime = 1_500;
+/**
+ * Milliseconds between two surveys of a chain: reports have a price, and recovering a lost range takes longer than
+ * this.
+ */
+const surveyInterval = 500;
+/** HTTP status of a target that does not hold the layers that it was asked to run. */
+const misdirectedStatus = 421;
 
-/** The chains of one service: choice, stalls, and which target is to blame. */
+/** Chooses chains for the requests of one service, detects stalled chains, and finds the targets at fault. */
 export class ChainService {
     private readonly router: ChainRouter;
     private readonly users = new Map<ChainLoad, Set<ChainUser>>();
@@ -106,34 +122,39 @@
         this.scheduleCheck();
     }
 
-    /** Chooses a chain that is not among the failed ones. */
+    /** Chooses a chain that is not in `failed`; a chain that is avoided after a stall only if there is no other. */
     choose(failed: ReadonlySet<string>): ChainLoad | undefined {
         return this.chooseWell(failed) ?? this.router.choose(this.options.engine, failed);
     }
 
-    /** The same, but none that stalled a moment ago: a repeat is worth its part of the budget on a sound chain only. */
+    /**
+     * Like {@link ChainService.choose}, but never a chain that stalled recently: a retry there would waste retry
+     * budget.
+     */
     chooseWell(failed: ReadonlySet<string>): ChainLoad | undefined {
         return this.router.chooseWell(this.options.engine, failed);
     }
 
-    /** The best chain for a stream that broke off to go on. */
+    /** Chooses the chain on which an interrupted stream is resumed. */
     chooseToResume(failed: ReadonlySet<string>): ChainLoad | undefined {
         return this.router.chooseToResume(this.options.engine, failed);
     }
 
-    /** The same, but none that is full: a request that waits is no better off at the end of another queue. */
+    /**
+     * Like {@link ChainService.chooseWell}, but never a full chain: a queued request gains nothing from another queue.
+     */
     chooseWithRoom(failed: ReadonlySet<string>): ChainLoad | undefined {
         const load = this.chooseWell(failed);
         return load !== undefined && this.router.hasRoom(load) ? load : undefined;
     }
 
-    /** Requests of this process in flight, by the first target of their chain. */
+    /** Returns the number of requests that this process has in flight, by the first target of their chain. */
     headLoads(): [string, number][] {
         return this.router.headLoads();
     }
 
-    /** What is known of a chain now, for the logs. */
-    evidence({ lastEventAt }: ChainLoad): ChainEvidence {
+    /** Returns the condition of a chain as log fields. */
+    evidence({ lastEventAt }: ChainLoad): ChainDiagnostics {
         return {
             chainSilence: Math.round(this.options.clock.now() - lastEventAt),
             loopDelay: Math.round(this.loop.recent),
@@ -149,12 +170,12 @@
         this.inspector.stop();
     }
 
-    /** Forgets what a target did before it started again. */
+    /** Discards the penalties of a target, because it has restarted. */
     forget(id: string): void {
         this.inspector.forget(id);
     }
 
-    /** A request is sent over the chain. */
+    /** Records that a request is sent over the chain. */
     begin(load: ChainLoad, user: ChainUser): void {
         load.inFlight++;
         const users = this.users.get(load);
@@ -166,11 +187,16 @@
         }
     }
 
+    /** Records that a request on the chain has received its first event. */
     firstEvent(load: ChainLoad): void {
         load.streaming++;
     }
 
-    /** A stream got an event, so many milliseconds after its last one if that came over the same chain. */
+    /**
+     * Records that a stream on the chain has received an event.
+     *
+     * @param interval - Milliseconds since its previous event; undefined unless that came over the same chain.
+     */
     event(load: ChainLoad, interval?: number): void {
         load.lastEventAt = this.options.clock.now();
         if (interval !== undefined && interval < stallSilence) {
@@ -179,7 +205,7 @@
         }
     }
 
-    /** A request no longer uses the chain. */
+    /** Records that a request no longer uses the chain. */
     end(load: ChainLoad, user: ChainUser, hadEvents: boolean): void {
         load.inFlight--;
         load.streaming -= hadEvents ? 1 : 0;
@@ -190,20 +216,24 @@
         }
     }
 
-    /** A target of the chain refused a request. */
+    /** Records that a target of the chain refused a request, and inspects or avoids that target. */
     refused(load: ChainLoad, status: number, address: string | undefined): void {
         const hop = load.chain.hops.find(hop => hop.address === address) ?? load.chain.hops[0];
         if (hop === undefined) {
             return;
         }
-        if (status === misdirected) {
+        if (status === misdirectedStatus) {
             this.inspector.avoidMisplaced(hop.targetId);
             return;
         }
         this.inspector.inspectRefusing(hop.targetId);
     }
 
-    /** A stream of the chain broke off. */
+    /**
+     * Records that a stream on the chain failed, and looks for the target at fault.
+     *
+     * @param neverSent - Whether no connection to the first target could be opened.
+     */
     broke(load: ChainLoad, neverSent: boolean): void {
         const head = load.chain.hops[0];
         if (neverSent && head !== undefined) {
@@ -227,7 +257,7 @@
 
     private scheduleCheck(): void {
         const { clock } = this.options;
-        const delay = this.nextCheck();
+        const delay = this.nextCheckDelay();
         const due = clock.now() + delay;
         clock.schedule(() => {
             if (!this.isStopped) {
@@ -238,16 +268,16 @@
         }, delay);
     }
 
-    /** Milliseconds until a chain can have been silent for long enough, if no event comes meanwhile. */
-    private nextCheck(): number {
+    /** Returns the milliseconds until the first chain exceeds its silence limit, if no event arrives. */
+    private nextCheckDelay(): number {
         const now = this.options.clock.now();
-        const watched = [...this.users.keys()].filter(({ streaming }) => streaming >= stallStreams);
+        const watched = [...this.users.keys()].filter(({ streaming }) => streaming >= minStallStreams);
         const delays = watched.map(load => load.lastEventAt + this.silenceLimit(load) - now);
-        return Math.max(stallCheck.least, Math.min(stallCheck.most, ...delays));
+        return Math.max(checkDelayBounds.min, Math.min(checkDelayBounds.max, ...delays));
     }
 
-    /** A target that has started again knows nothing of the requests on it, although it answers. */
-    private leaveRestarted(): void {
+    /** Moves requests off chains with a restarted target, which has lost them although it answers. */
+    private leaveRestartedChains(): void {
         const { directory } = this.options;
         if (directory.revision === this.checkedRevision) {
             return;
@@ -265,23 +295,23 @@
     }
 
     private checkStalls(): void {
-        this.leaveRestarted();
+        this.leaveRestartedChains();
         const now = this.options.clock.now();
-        const stoodStill = now - this.checkedAt > lateCheck;
+        const stoodStill = now - this.checkedAt > maxCheckPause;
         this.checkedAt = now;
         for (const load of this.users.keys()) {
             if (stoodStill || load.streaming === 0) {
                 load.lastEventAt = now;
                 continue;
             }
-            if (load.streaming < stallStreams) {
+            if (load.streaming < minStallStreams) {
                 continue;
             }
             const silence = now - load.lastEventAt;
             if (silence > this.silenceLimit(load) && this.isOn("chain-surveys")) {
                 void this.survey(load);
             }
-            if (silence > (this.isOn("stall-patience") ? stallSilence : hastyStallSilence)) {
+            if (silence > (this.isOn("stall-patience") ? stallSilence : shortStallSilence)) {
                 this.leaveStalled(load, now);
             }
         }
@@ -295,19 +325,19 @@
             streams: load.streaming,
             requests: load.inFlight,
         }, "chain stalled");
-        load.avoidedUntil = now + stalledPause;
+        load.avoidedUntil = now + stallAvoidanceTime;
         load.lastEventAt = now;
         this.leave(load, "chain stalled");
     }
 
     /**
-     * Looks at the targets of a chain that failed, and of the one that its requests would move to: when several are lost
-     * at once, a move to the next broken chain would use up attempts and the retry budget. Requests leave every chain on
-     * which a target is found to be silent.
+     * Requests reports from the targets of a failed chain and of the chain that its requests would move to: when
+     * several targets are lost at the same time, moving to another broken chain would use up attempts and the retry
+     * budget. Requests leave every chain on which a target gives no report.
      */
     private async survey(load: ChainLoad): Promise<void> {
         const { clock } = this.options;
-        if (clock.now() - (this.surveyedAt.get(load) ?? -Infinity) < surveyPause) {
+        if (clock.now() - (this.surveyedAt.get(load) ?? -Infinity) < surveyInterval) {
             return;
         }
         this.surveyedAt.set(load, clock.now());
@@ -316,15 +346,15 @@
         const silent = await this.inspector.survey([...new Set(hops.map(({ targetId }) => targetId))]);
         load.falseAlarms = silent.length === 0 ? load.falseAlarms + 1 : 0;
         for (const other of this.users.keys()) {
-            const isDoubtful = other.streaming === 0 || clock.now() - other.lastEventAt > this.silenceLimit(other);
-            const fault = isDoubtful ? this.findFault(other.chain, silent) : undefined;
+            const isSuspect = other.streaming === 0 || clock.now() - other.lastEventAt > this.silenceLimit(other);
+            const fault = isSuspect ? this.findFault(other.chain, silent) : undefined;
             if (fault !== undefined) {
                 this.leave(other, fault);
             }
         }
     }
 
-    /** Why no stream of a chain can go on, if one of its targets is to blame. */
+    /** Describes the fault of the target that keeps a chain from making progress; undefined when there is none. */
     private findFault({ hops }: Chain, silent: readonly string[]): string | undefined {
         const silentHop = hops.find(({ targetId }) => silent.includes(targetId));
         if (silentHop !== undefined) {
@@ -338,17 +368,17 @@
         [...this.users.get(load) ?? []].forEach(user => user.leaveChain(load, reason));
     }
 
-    /** Milliseconds without an event of any stream of a chain after which its targets are looked at. */
+    /** Returns the milliseconds without an event of any stream of a chain after which its targets are surveyed. */
     private silenceLimit({ chain, eventInterval, falseAlarms }: ChainLoad): number {
         if (chain.crossings > 0) {
             return crossingSilence;
         }
-        const { least, most } = surveySilence;
+        const { min, max } = surveySilenceBounds;
         if (eventInterval === undefined || !this.isOn("survey-intervals")) {
-            return most;
+            return max;
         }
-        const { first, step, most: mostIntervals } = surveyIntervals;
-        const intervals = Math.min(mostIntervals, first + step * falseAlarms);
-        return Math.min(most + alarmSilence * falseAlarms, Math.max(least, eventInterval * intervals));
+        const { first, step, max: maxFactor } = surveyFactor;
+        const factor = Math.min(maxFactor, first + step * falseAlarms);
+        return Math.min(max + falseAlarmSilence * falseAlarms, Math.max(min, eventInterval * factor));
     }
 }
--- a/packages/gateway/src/lib/chains/EngineControl.ts
+++ b/packages/gateway/src/lib/chains/EngineControl.ts
@@ -1,48 +1,51 @@
 import { type LayerRange, type Target } from "../directory/Target.js";
 
-/** What a target that holds layers says of itself. */
+/** Status report of a target that holds layers. */
 export interface EngineReport {
-    /** When the target started, in milliseconds since 1970 by its own clock; undefined where it does not say. */
+    /** When the target started, in milliseconds since 1970 by its own clock; undefined if it does not report this. */
     readonly startedAt?: number;
-    /** An order is being carried out. */
+    /** Whether the target is carrying out an order. */
     readonly isBusy: boolean;
-    /** Orders accepted since the target's start. */
+    /** Number of orders accepted since the target started. */
     readonly orders: number;
     readonly layers: LayerRange | undefined;
-    /** The share of its KV cache that is taken, from 0 to 1. */
+    /** Share of its KV cache in use, from 0 to 1. */
     readonly cacheUse: number;
-    /** Requests that wait for a slot. */
+    /** Number of requests queued for a slot. */
     readonly waiting: number;
-    /** Over 1 when the target is slower than its accelerator should be. */
+    /** Ratio of the target's step time to the expected time of its accelerator; over 1 when the target is slow. */
     readonly slowdown: number;
-    /** Addresses of targets that requests which begin here are waiting for in vain. */
+    /** Addresses of targets that block requests of chains which begin at this target. */
     readonly stalledBy: readonly string[];
 }
 
-/** An order to hold a range of layers, in place of the present one. */
+/** An order to a target to replace its layers by another range. */
 export interface LayerOrder {
     readonly layers: LayerRange;
-    /** Grows with each holder of the duty. */
+    /** Fencing token: the term of the placement lease, which increases with each holder. */
     readonly fence: number;
-    /** The target refuses the order if it has accepted any other meanwhile. */
+    /** Number of orders accepted by the target so far; it refuses the order if its own count differs. */
     readonly expectedOrders: number;
 }
 
-/** How an order was received. */
+/** Result of an order to a target. */
 export type OrderResult =
+    /** The target accepted the order and carries it out. */
     | { readonly kind: "begun"; }
-    /** The state that was ordered holds already. */
+    /** The target already holds the ordered layers. */
     | { readonly kind: "held"; }
-    /** The order does not fit the target's state, or another one came first. */
+    /** The order does not fit the target's state, or the target accepted another order first. */
     | { readonly kind: "unfit"; readonly reason: string; }
     | { readonly kind: "refused"; readonly reason: string; }
-    /** No reply: the order may be carried out, also much later. */
+    /** No reply: the order may still be carried out, even much later. */
     | { readonly kind: "unknown"; readonly reason: string; };
 
-/** Reports of and orders to targets that hold layers. */
+/** Fetches reports from targets that hold layers, and sends them orders. */
 export interface EngineControl {
     /** @returns Undefined when the target gives no report within the timeout, in milliseconds. */
     fetchReport(target: Pick<Target, "host" | "port">, timeout: number): Promise<EngineReport | undefined>;
-    /** @returns "unknown" when no reply comes within the timeout, in milliseconds: the order may still be carried out. */
+    /**
+     * @returns "unknown" when no reply arrives within the timeout, in milliseconds: the order may still be carried out.
+     */
     place(target: Pick<Target, "host" | "port">, order: LayerOrder, timeout: number): Promise<OrderResult>;
 }
--- a/packages/gateway/src/lib/chains/Penalties.test.ts
+++ b/packages/gateway/src/lib/chains/Penalties.test.ts
@@ -3,9 +3,9 @@
 import { test } from "node:test";
 import { Penalties, type Penalty } from "./Penalties.js";
 
-const penalty: Penalty = { reason: "refuses", duration: 300, longest: 1_000 };
+const penalty: Penalty = { reason: "refuses", duration: 300, maxDuration: 1_000 };
 
-test("the same reason soon after: twice as long, up to a bound", () => {
+test("a penalty doubles up to a bound when its reason recurs soon", () => {
     const clock = new ManualClock();
     const penalties = new Penalties(clock);
     const durations = [1, 2, 3, 4].map(() => {
@@ -16,7 +16,7 @@
     assert.deepEqual(durations, [300, 600, 1_000, 1_000]);
 });
 
-test("a penalty while one runs does not grow", () => {
+test("a penalty during another one for the same reason does not double", () => {
     const clock = new ManualClock();
     const penalties = new Penalties(clock);
     penalties.add("t1", penalty);
@@ -24,7 +24,7 @@
     assert.equal(penalties.add("t1", penalty), 300);
 });
 
-test("another target, another reason or a long time after: as the first time", () => {
+test("a penalty starts at its first duration for another target, another reason or after a long time", () => {
     const clock = new ManualClock();
     const penalties = new Penalties(clock);
     penalties.add("t1", penalty);
--- a/packages/gateway/src/lib/chains/Penalties.ts
+++ b/packages/gateway/src/lib/chains/Penalties.ts
@@ -1,40 +1,40 @@
 import { type Clock } from "@waxwingspar/utils";
 
-/** A reason for which a target is avoided, again and longer if it comes again soon. */
+/** A reason to avoid a target for some time, which doubles when the reason recurs soon. */
 export interface Penalty {
     readonly reason: string;
     /** Milliseconds for which the target is avoided the first time. */
     readonly duration: number;
-    /** The longest that repetitions make of it, in milliseconds. */
-    readonly longest: number;
+    /** Upper bound of the duration after recurrences, in milliseconds. */
+    readonly maxDuration: number;
 }
 
 /**
- * Milliseconds after the end of a penalty within which the next one for the same reason is twice as long. Chosen: longer
- * than a target needs to take requests again and fail once more.
+ * Milliseconds after the end of a penalty within which the next one for the same reason is twice as long. It exceeds
+ * the time that a target needs to receive requests again and fail once more.
  */
 const memory = 5_000;
 
-interface Record {
+interface PenaltyRecord {
     readonly duration: number;
     readonly end: number;
 }
 
-/** How long targets are to be avoided: twice as long each time that the same reason comes back soon. */
+/** Determines how long targets are avoided, with exponential back-off for each recurring reason. */
 export class Penalties {
-    private readonly records = new Map<string, Record>();
+    private readonly records = new Map<string, PenaltyRecord>();
 
     constructor(private readonly clock: Clock) {}
 
     /**
-     * Counts a penalty of a target.
+     * Records a penalty of a target.
      *
-     * @returns For how many milliseconds the target is to be avoided. One that comes while an earlier one runs changes
-     * nothing about the next.
+     * @returns Milliseconds for which the target is to be avoided. A penalty during an earlier one for the same reason
+     * does not double the duration.
      */
-    add(id: string, { reason, duration, longest }: Penalty): number {
+    add(id: string, { reason, duration, maxDuration: longest }: Penalty): number {
         const now = this.clock.now();
-        this.forgetOld(now);
+        this.removeExpired(now);
         const key = `${id} ${reason}`;
         const known = this.records.get(key);
         const next = known === undefined
@@ -46,7 +46,7 @@
         return next;
     }
 
-    /** Forgets what a target did, for instance because it has started again. */
+    /** Discards the penalties of a target, for instance because it has restarted. */
     forget(id: string): void {
         for (const key of this.records.keys()) {
             if (key.startsWith(`${id} `)) {
@@ -55,7 +55,7 @@
         }
     }
 
-    private forgetOld(now: number): void {
+    private removeExpired(now: number): void {
         for (const [key, { end }] of this.records) {
             if (end + memory < now) {
                 this.records.delete(key);
--- a/packages/gateway/src/lib/chains/TargetInspector.test.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.test.ts
@@ -13,7 +13,7 @@
 
 const ids = ["t1", "t2", "t3", "t4", "t5"];
 
-/** Targets of whom the named ones never answer; the others do after `delay` milliseconds. */
+/** Creates an inspector of targets that answer after `delay` milliseconds, or never if their ids are in `silent`. */
 function createInspector(silent: readonly string[], delay = 10) {
     const clock = new StandingClock(1);
     const loop = new LoopDelay(clock);
@@ -46,7 +46,7 @@
     return { clock, loop, suspicions, reports, inspector };
 }
 
-test("a target that is silent while the others answer is avoided at once", async () => {
+test("a target that is silent while the others answer is avoided immediately", async () => {
     const { clock, suspicions, inspector } = createInspector(["t2"]);
     let found: string[] | undefined;
     void inspector.survey(ids).then(silent => found = silent);
@@ -58,7 +58,7 @@
     assert.equal(suspicions.isLost("t2"), true);
 });
 
-test("while nobody answers, nobody is avoided before the time limit", async () => {
+test("when no target answers, none is avoided before the report timeout", async () => {
     const { clock, suspicions, inspector } = createInspector(ids);
     void inspector.survey(ids);
     await clock.advanceAsync(250);
@@ -67,7 +67,7 @@
     assert.deepEqual(suspicions.listLost(), ids);
 });
 
-test("answers that come late together blame nobody", async () => {
+test("no target is avoided when all of them answer late", async () => {
     const { clock, suspicions, inspector } = createInspector([], 200);
     let found: string[] | undefined;
     void inspector.survey(ids).then(silent => found = silent);
@@ -76,7 +76,7 @@
     assert.deepEqual(suspicions.list(), []);
 });
 
-test("a target that refuses gets nothing until it has answered", async () => {
+test("a target that refuses a request is avoided until it has answered", async () => {
     const { clock, suspicions, inspector } = createInspector([], 100);
     inspector.inspectRefusing("t1");
     assert.equal(suspicions.has("t1"), true);
@@ -86,7 +86,7 @@
     assert.equal(suspicions.has("t1"), false);
 });
 
-test("a target that refuses with room again and again is avoided for longer each time", async () => {
+test("a target that repeatedly refuses requests although it has room is avoided for longer each time", async () => {
     const { clock, suspicions, inspector } = createInspector([], 10);
     const durations: number[] = [];
     for (let round = 0; round < 3; round++) {
@@ -101,7 +101,7 @@
     assert.deepEqual(durations, [300, 600, 1_200]);
 });
 
-test("a target that stalls others again and again is avoided for longer each time", async () => {
+test("a target that repeatedly stalls others is avoided for longer each time", async () => {
     const { clock, suspicions, reports, inspector } = createInspector([], 10);
     reports.set("t1", { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
     void inspector.survey(["t1"]);
@@ -113,10 +113,11 @@
 });
 
 /**
- * A host with little processor time read a large configuration and stood still for some moments. It took the reports that had come
- * meanwhile for missing, since limits of time run out before input is read, and avoided targets that all its peers used.
+ * Guards against healthy targets being avoided after the event loop was blocked, for instance by parsing a large
+ * configuration on a slow host. Timers run before pending input is read, so reports that arrived in time counted as
+ * missing.
  */
-test("a report that came while this process stood still is not late", async () => {
+test("a report that arrived while the event loop was blocked is not late", async () => {
     const { clock, suspicions, inspector } = createInspector(["t4", "t5"], 10);
     let found: string[] | undefined;
     void inspector.survey(ids).then(silent => found = silent);
--- a/packages/gateway/src/lib/chains/TargetInspector.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.ts
@@ -21,51 +21,59 @@
     readonly observation: Observation;
 }
 
-/** Milliseconds that a report may take. */
+/** Timeout of a report, in milliseconds. */
 const reportTimeout = 300;
 /**
- * Once so many of the targets that are looked at together have answered, the others are late: the answers show that this
- * process and its links work.
+ * Share of the surveyed targets that must have answered before the remaining ones count as stragglers: that many
+ * answers show that this process and its links work.
+ */
+const answeredShare = 0.6;
+/**
+ * Milliseconds that stragglers get to answer. A report takes 3 to 10 ms, and the retransmission of a lost packet takes
+ * longer than this delay.
  */
-const promptShare = 0.6;
-/** Milliseconds that the others get then. Chosen: a report takes 3 to 10 ms (reckoned from
- * the links' delays), and a lost packet takes longer to come again. */
 const stragglerDelay = 15;
 /**
- * Milliseconds for which this process may have stood still in that time; after more, they get it again. Timers run before what has
- * come meanwhile is read, so it would take its own delay for the target's.
+ * Milliseconds for which the event loop may be blocked during the straggler delay before the delay is started again.
+ * Timers run before pending input is read, so the delay of this process would be attributed to the target.
+ */
+const maxStragglerPause = 5;
+/**
+ * Milliseconds for which the event loop may be blocked during a report before its absence is ignored. The rest of the
+ * report timeout leaves time for the retransmission of a lost packet.
+ */
+const maxReportPause = 100;
+/**
+ * Milliseconds before the end of a penalty at which the next inspection starts, so that its result is known in time.
  */
-const stragglerStandstill = 5;
-/** The same for a whole report: a packet that was lost comes again within what is left of its time. */
-const reportStandstill = 100;
-/** Milliseconds before the end of an avoidance at which the next look begins, so that it ends in time. */
 const reinspectLead = 400;
 
-/** It is looked at again before it gets requests, so there is no need for longer times. */
-const silent: Penalty = { reason: "gives no report", duration: 2_000, longest: 2_000 };
-const unreachable: Penalty = { reason: "cannot be reached", duration: 2_000, longest: 2_000 };
-/** It answers and still makes others wait: only the requests on it show whether that is over. */
-const stalling: Penalty = { reason: "stalls others", duration: 2_000, longest: 16_000 };
-const straggling: Penalty = { reason: "is slow to report", duration: reportTimeout, longest: reportTimeout };
-const reordered: Penalty = { reason: "changes its layers", duration: 400, longest: 400 };
-/** Requests end at a rate of several in that time. */
-const full: Penalty = { reason: "is full", duration: 150, longest: 150 };
+/** The target is inspected again before it gets requests, so a longer penalty is not needed. */
+const noReport: Penalty = { reason: "gives no report", duration: 2_000, maxDuration: 2_000 };
+const unreachable: Penalty = { reason: "cannot be reached", duration: 2_000, maxDuration: 2_000 };
+/** The target answers and still blocks others. Only requests sent to it show whether it has recovered. */
+const stalling: Penalty = { reason: "stalls others", duration: 2_000, maxDuration: 16_000 };
+const slowReport: Penalty = { reason: "is slow to report", duration: reportTimeout, maxDuration: reportTimeout };
+const changingLayers: Penalty = { reason: "changes its layers", duration: 400, maxDuration: 400 };
+/** Several requests end on a target within this time, which frees their slots. */
+const full: Penalty = { reason: "is full", duration: 150, maxDuration: 150 };
 /**
- * It may have filled up since the report, which is some hundred milliseconds old, or be leaving, which the store may not
- * say while it is away. With both at once, 47 requests were refused in 4 s of a played day. The times are chosen.
+ * The target may have filled up since its report, which is up to some hundred milliseconds old, or it may be draining,
+ * which is not listed while the store is unavailable. With both at the same time, 47 requests were refused in 4 s of a
+ * simulated day.
  */
-const leaving: Penalty = { reason: "refuses, though it has room", duration: 300, longest: 2_400 };
-/** Its entry is up to date after that. */
-const misplaced: Penalty = { reason: "does not hold its layers", duration: 1_500, longest: 1_500 };
-/** The share of its KV cache from which a target that refuses counts as full. */
-const fullCache = 0.85;
+const leaving: Penalty = { reason: "refuses, though it has room", duration: 300, maxDuration: 2_400 };
+/** By the end of this penalty the entry of the target is up to date. */
+const wrongLayers: Penalty = { reason: "does not hold its layers", duration: 1_500, maxDuration: 1_500 };
+/** Share of the KV cache in use above which a target that refuses a request counts as full. */
+const fullCacheThreshold = 0.85;
 
-/** What a look at a target shows. */
-type Verdict = "well" | "silent" | "troubled";
+/** Result of an inspection; "degraded" means that the target refuses requests or is stalled by others. */
+type InspectionResult = "healthy" | "silent" | "degraded";
 
-/** Finds out by their reports which targets are to blame when requests fail, and has them avoided for a while. */
+/** Identifies faulty targets by their reports when requests fail, and marks them as suspected for a while. */
 export class TargetInspector {
-    private readonly running = new Map<string, Promise<Verdict>>();
+    private readonly running = new Map<string, Promise<InspectionResult>>();
     private readonly penalties: Penalties;
     private isStopped = false;
 
@@ -77,23 +85,23 @@
         this.isStopped = true;
     }
 
-    /** Forgets what a target did before it started again. */
+    /** Discards the penalties of a target, because it has restarted. */
     forget(id: string): void {
         this.penalties.forget(id);
     }
 
     /**
-     * Looks at targets together. Those that have not answered soon after most others are avoided at once, so that
-     * requests need not wait for the time limit of a report.
+     * Inspects several targets in parallel. Targets that have not answered soon after most others are avoided
+     * immediately, so that requests need not wait for the timeout of a report.
      *
-     * @returns The targets that are silent.
+     * @returns The ids of targets that gave no report.
      */
     survey(ids: readonly string[]): Promise<string[]> {
         const waiting = new Set(ids);
         const silentIds: string[] = [];
         return new Promise(resolve => {
-            let isTimed = false;
-            const answered = (id: string, verdict: Verdict) => {
+            let hasStragglerTimer = false;
+            const answered = (id: string, verdict: InspectionResult) => {
                 waiting.delete(id);
                 if (verdict === "silent") {
                     silentIds.push(id);
@@ -101,10 +109,10 @@
                 if (waiting.size === 0) {
                     resolve(silentIds);
                 }
-                else if (!isTimed && waiting.size <= ids.length * (1 - promptShare)) {
-                    isTimed = true;
+                else if (!hasStragglerTimer && waiting.size <= ids.length * (1 - answeredShare)) {
+                    hasStragglerTimer = true;
                     this.waitForStragglers(waiting, () => {
-                        waiting.forEach(late => this.avoid(late, "busy", straggling));
+                        waiting.forEach(late => this.avoid(late, "busy", slowReport));
                         resolve([...silentIds, ...waiting]);
                     });
                 }
@@ -113,101 +121,108 @@
         });
     }
 
-    /** Calls back when the others have had their time, and what came in it has been read. */
+    /** Calls back after the straggler delay, once the input that arrived during it has been read. */
     private waitForStragglers(waiting: ReadonlySet<string>, onLate: () => void): void {
         const { clock, loop } = this.options;
         const due = clock.now() + stragglerDelay;
         clock.schedule(() => {
-            const stoodStill = loop.note(due) > stragglerStandstill;
+            const stoodStill = loop.note(due) > maxStragglerPause;
             if (stoodStill && waiting.size > 0) {
                 this.waitForStragglers(waiting, onLate);
                 return;
             }
-            // The next timer runs after another turn of the loop, in which input is read.
+            // A zero delay lets the event loop read pending input before the timer runs.
             clock.schedule(onLate, 0);
         }, stragglerDelay);
     }
 
-    private inspect(id: string): Promise<Verdict> {
-        return this.look(id, report => this.blameOthers(report));
+    private inspect(id: string): Promise<InspectionResult> {
+        return this.startInspection(id, report => this.avoidStallingTargets(report));
     }
 
-    /** Looks at a target that has just refused a request; until it has answered, it gets no further ones. */
+    /** Inspects a target that has refused a request; it gets no further requests until it has answered. */
     inspectRefusing(id: string): void {
         if (this.running.has(id)) {
             return;
         }
         this.options.suspicions.suspect(id, "busy", reportTimeout);
-        void this.look(id, report => this.judgeRefusal(id, report));
+        void this.startInspection(id, report => this.evaluateRefusal(id, report));
     }
 
-    /** A target that refused since it no longer holds the layers that it was asked to run. */
+    /** Avoids a target that refused a request because it no longer holds the layers it was asked to run. */
     avoidMisplaced(id: string): void {
-        this.avoid(id, "busy", misplaced);
+        this.avoid(id, "busy", wrongLayers);
     }
 
-    /** A target that no connection can be opened to. */
+    /** Avoids a target to which no connection can be opened. */
     avoidUnreachable(id: string): void {
         this.avoid(id, "lost", unreachable);
     }
 
-    private look(id: string, judge: (report: EngineReport) => Verdict): Promise<Verdict> {
+    private startInspection(
+        id: string,
+        evaluate: (report: EngineReport) => InspectionResult,
+    ): Promise<InspectionResult> {
         const running = this.running.get(id);
         if (running !== undefined) {
             return running;
         }
-        const look = this.fetchAndJudge(id, judge);
-        this.running.set(id, look);
-        return look;
+        const inspection = this.fetchAndEvaluate(id, evaluate);
+        this.running.set(id, inspection);
+        return inspection;
     }
 
-    private async fetchAndJudge(id: string, judge: (report: EngineReport) => Verdict): Promise<Verdict> {
+    private async fetchAndEvaluate(
+        id: string,
+        evaluate: (report: EngineReport) => InspectionResult,
+    ): Promise<InspectionResult> {
         const { clock, directory, engines, loop } = this.options;
         const target = directory.get(id);
         const askedAt = clock.now();
         const report = target === undefined ? undefined : await engines.fetchReport(target, reportTimeout);
         this.running.delete(id);
         if (target === undefined || !directory.confirmsStart(target, report?.startedAt)) {
-            return "well";
+            return "healthy";
         }
-        if (report === undefined && loop.stoodStillSince(askedAt) > reportStandstill) {
+        if (report === undefined && loop.stoodStillSince(askedAt) > maxReportPause) {
             this.options.observation.logs.chains.warn(
                 { target: id, stoodStill: Math.round(loop.stoodStillSince(askedAt)) },
-                "missing report does not count",
+                "missing report ignored",
             );
-            return "well";
+            return "healthy";
         }
         if (report === undefined) {
-            this.avoid(id, "lost", silent);
-            clock.schedule(() => void this.inspectAgain(id), silent.duration - reinspectLead);
+            this.avoid(id, "lost", noReport);
+            clock.schedule(() => void this.inspectAgain(id), noReport.duration - reinspectLead);
             return "silent";
         }
         this.options.paces.observe(id, report.slowdown);
-        return judge(report);
+        return evaluate(report);
     }
 
-    private blameOthers({ stalledBy }: EngineReport): Verdict {
+    private avoidStallingTargets({ stalledBy }: EngineReport): InspectionResult {
         const culprits = this.options.directory.list().filter(other => stalledBy.includes(addressOf(other)));
         culprits.forEach(culprit => this.avoid(culprit.id, "lost", stalling));
-        return culprits.length === 0 ? "well" : "troubled";
+        return culprits.length === 0 ? "healthy" : "degraded";
     }
 
-    private judgeRefusal(id: string, report: EngineReport): Verdict {
+    private evaluateRefusal(id: string, report: EngineReport): InspectionResult {
         this.options.suspicions.clear(id);
         if (report.isBusy) {
-            this.avoid(id, "busy", reordered);
+            this.avoid(id, "busy", changingLayers);
         }
-        else if (report.waiting > 0 || report.cacheUse > fullCache) {
+        else if (report.waiting > 0 || report.cacheUse > fullCacheThreshold) {
             this.avoid(id, "busy", full);
         }
         else {
-            // It may be leaving, or lack room for just this request. Only the list says that its layers must go elsewhere.
+            // The target may be draining, or lack room for this request only. Whether its layers are placed elsewhere
+            // depends on its listed state alone.
             this.avoid(id, "busy", leaving);
         }
-        return "troubled";
+        return "degraded";
     }
 
-    /** A target that gave no report stays avoided until it gives one or is no longer listed. */
+    /** Keeps a target that gave no report avoided until it gives one or is no longer listed. */
     private async inspectAgain(id: string): Promise<void> {
         if (!this.isStopped && this.options.directory.get(id) !== undefined) {
             await this.inspect(id);
--- a/packages/gateway/src/lib/chains/TargetPaces.test.ts
+++ b/packages/gateway/src/lib/chains/TargetPaces.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { TargetPaces } from "./TargetPaces.js";
 
-test("a slow target stays slow until a report says otherwise, or reports stop", () => {
+test("a target counts as slow until a report shows otherwise or the last report expires", () => {
     const clock = new ManualClock();
     const paces = new TargetPaces(clock);
     paces.observe("a", 4);
@@ -15,13 +15,13 @@
     assert.equal(paces.slowdown("b"), 1);
 });
 
-test("small differences of pace are no slowness", () => {
+test("a slowdown below the threshold is ignored", () => {
     const paces = new TargetPaces(new ManualClock());
     paces.observe("a", 1.4);
     assert.equal(paces.slowdown("a"), 1);
 });
 
-test("a peer's word counts for a second and is not passed on", () => {
+test("a peer's report is valid for a second and is not forwarded", () => {
     const clock = new ManualClock();
     const paces = new TargetPaces(clock);
     paces.hear({ a: 6 });
@@ -31,7 +31,7 @@
     assert.equal(paces.slowdown("a"), 1);
 });
 
-test("the fingerprint changes with a slow target and again when it is well", () => {
+test("the fingerprint changes when a target becomes slow and when it recovers", () => {
     const paces = new TargetPaces(new ManualClock());
     const before = paces.fingerprint;
     paces.observe("a", 4);
--- a/packages/gateway/src/lib/chains/TargetPaces.ts
+++ b/packages/gateway/src/lib/chains/TargetPaces.ts
@@ -1,71 +1,71 @@
 import { type Clock } from "@waxwingspar/utils";
 
-/** From this on a target counts as slow. Chosen: what jitter of reports makes of a sound one stays below. */
-const slowFrom = 1.5;
-/** Milliseconds for which a report is believed without a newer one: two rounds of reports and their lag. */
-const reportTrust = 8_000;
-/** Milliseconds for which a peer's word is believed without a newer one: some heartbeats. */
-const peerTrust = 1_000;
+/** Slowdown from which a target counts as slow; the jitter of a healthy target's reports stays below it. */
+const slowThreshold = 1.5;
+/** Milliseconds for which a report stays valid without a newer one: two rounds of reports and their lag. */
+const reportLifetime = 8_000;
+/** Milliseconds for which slow targets reported by peers stay listed without a newer report: several heartbeats. */
+const peerReportLifetime = 1_000;
 
 interface Pace {
     readonly slowdown: number;
-    /** On the clock. */
+    /** When the value expires, on the clock. */
     readonly end: number;
 }
 
-/** Slow targets by id, and how many times longer than their accelerators should they take. */
+/** The slowdown of each slow target, by target id. */
 export type SlowTargets = Readonly<Record<string, number>>;
 
-/** Which targets are slow, by reports that this process has seen and by what its peers say of theirs. */
+/** Tracks which targets are slow, according to reports to this process and to its peers. */
 export class TargetPaces {
-    private readonly own = new Map<string, Pace>();
-    private readonly heard = new Map<string, Pace>();
+    private readonly observed = new Map<string, Pace>();
+    private readonly peerReported = new Map<string, Pace>();
 
     constructor(private readonly clock: Clock) {}
 
-    /** Takes what a target reports of itself. */
+    /** Records the slowdown that a target reports. */
     observe(id: string, slowdown: number): void {
-        if (slowdown >= slowFrom) {
-            this.own.set(id, { slowdown, end: this.clock.now() + reportTrust });
+        if (slowdown >= slowThreshold) {
+            this.observed.set(id, { slowdown, end: this.clock.now() + reportLifetime });
         }
         else {
-            this.own.delete(id);
-            this.heard.delete(id);
+            this.observed.delete(id);
+            this.peerReported.delete(id);
         }
     }
 
-    /** Forgets what was known of a target, for instance because it has started again. */
+    /** Discards the slowdown of a target, for instance because it has restarted. */
     forget(id: string): void {
-        this.own.delete(id);
-        this.heard.delete(id);
+        this.observed.delete(id);
+        this.peerReported.delete(id);
     }
 
-    /** Takes the slow targets that a peer knows by itself. */
+    /** Records the slow targets that peers have observed themselves. */
     hear(slow: SlowTargets): void {
-        const end = this.clock.now() + peerTrust;
-        Object.entries(slow).forEach(([id, slowdown]) => this.heard.set(id, { slowdown, end }));
+        const end = this.clock.now() + peerReportLifetime;
+        Object.entries(slow).forEach(([id, slowdown]) => this.peerReported.set(id, { slowdown, end }));
     }
 
-    /** How many times longer than it should a target takes: 1 unless it is known to be slow. */
+    /** Returns the slowdown of a target, which is 1 unless the target is known to be slow. */
     slowdown(id: string): number {
-        return Math.max(1, this.valid(this.own, id), this.valid(this.heard, id));
+        return Math.max(1, this.currentSlowdown(this.observed, id), this.currentSlowdown(this.peerReported, id));
     }
 
-    /** The slow targets that this process knows by itself, for its peers. */
+    /** Returns the slow targets that this process has observed itself, to be sent to its peers. */
     listOwn(): SlowTargets {
-        const slow = [...this.own.keys()].map(id => [id, this.valid(this.own, id)] as const);
+        const slow = [...this.observed.keys()].map(id => [id, this.currentSlowdown(this.observed, id)] as const);
         return Object.fromEntries(slow.filter(([, slowdown]) => slowdown > 1));
     }
 
-    /** Changes with the slow targets and, in whole steps, with how slow they are. */
+    /** Changes with the set of slow targets and with their slowdowns, rounded to integers. */
     get fingerprint(): string {
-        const ids = [...new Set([...this.own.keys(), ...this.heard.keys()])].sort();
+        const ids = [...new Set([...this.observed.keys(), ...this.peerReported.keys()])].sort();
         return ids.map(id => [id, Math.round(this.slowdown(id))] as const)
             .filter(([, slowdown]) => slowdown > 1)
             .join();
     }
 
-    private valid(paces: Map<string, Pace>, id: string): number {
+    private currentSlowdown(paces: Map<string, Pace>, id: string): number {
         const pace = paces.get(id);
         if (pace === undefined) {
             return 1;
--- a/packages/gateway/src/lib/chains/TargetSuspicions.ts
+++ b/packages/gateway/src/lib/chains/TargetSuspicions.ts
@@ -1,31 +1,30 @@
 import { type Clock } from "@waxwingspar/utils";
 
 /**
- * Why a target is avoided: it seems lost, so that its layers should go elsewhere, or it cannot take requests just now.
+ * Why a target is avoided: "lost" if it appears to have failed, so that its layers should be placed elsewhere; "busy"
+ * if it temporarily takes no requests.
  */
 export type SuspicionKind = "lost" | "busy";
 
 interface Suspicion {
     readonly kind: SuspicionKind;
-    /** On the clock. */
+    /** When the suspicion expires, on the clock. */
     readonly end: number;
 }
 
-/**
- * Targets that this process has reason to avoid for a while, although the platform lists them as ready.
- */
+/** Tracks the targets that this process avoids for a while, although the platform lists them as ready. */
 export class TargetSuspicions {
     private readonly suspicions = new Map<string, Suspicion>();
     private revisionCount = 0;
 
     constructor(private readonly clock: Clock) {}
 
-    /** Grows with every change, apart from suspicions that run out. */
+    /** Increases whenever a suspicion is added, changed or removed; expired ones are removed by the next query. */
     get revision(): number {
         return this.revisionCount;
     }
 
-    /** Avoids a target for some milliseconds, or longer if it is avoided for longer already. */
+    /** Avoids a target for a number of milliseconds; a suspicion of the same kind that ends later stays as it is. */
     suspect(id: string, kind: SuspicionKind, duration: number): void {
         const end = this.clock.now() + duration;
         const known = this.suspicions.get(id);
@@ -53,17 +52,17 @@
         return false;
     }
 
-    /** All targets that are avoided now. */
+    /** Returns the ids of all targets that are avoided now. */
     list(): string[] {
         return [...this.suspicions.keys()].filter(id => this.has(id));
     }
 
-    /** True while a target seems lost. */
+    /** Whether a target is suspected to be lost. */
     isLost(id: string): boolean {
         return this.has(id) && this.suspicions.get(id)?.kind === "lost";
     }
 
-    /** All targets that seem lost now. */
+    /** Returns the ids of all targets that are suspected to be lost. */
     listLost(): string[] {
         return this.list().filter(id => this.isLost(id));
     }
--- a/packages/gateway/src/lib/chains/addStandbys.ts
+++ b/packages/gateway/src/lib/chains/addStandbys.ts
@@ -1,13 +1,13 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type LayerRange, type Target } from "../directory/Target.js";
-import { rankCards } from "./cards.js";
+import { rankCandidates } from "./cards.js";
 import { ampleRoom, requestRoom } from "./memory.js";
 import { type Placement } from "./Placement.js";
 
 /**
- * Lets empty targets that are left hold a second copy of some ranges: first of those whose target is short of room for
- * requests, which the second one relieves; then of the largest, so that a chain goes round a lost target at once. A target
- * that already holds layers stays as it is.
+ * Adds standbys: targets without layers that the plan does not use hold a second copy of some ranges. Ranges whose
+ * target is short of memory for requests come first, since the standby takes over part of its load; then the largest
+ * ranges, so that a chain can bypass a lost target immediately. Targets that already hold layers keep them.
  */
 export function addStandbys(
     placements: readonly Placement[],
@@ -17,30 +17,30 @@
 ): Placement[] {
     const used = new Set(placements.map(({ target }) => target));
     const unused = targets.filter(target => !used.has(target));
-    const doubled = unused.flatMap(({ layers }) => layers ?? []);
-    const left = rankCards(unused.filter(({ layers }) => layers === undefined), engine, concurrency);
+    const replicated = unused.flatMap(({ layers }) => layers ?? []);
+    const available = rankCandidates(unused.filter(({ layers }) => layers === undefined), engine, concurrency);
     const ranges = placements
         .flatMap(({ target, layers }) => {
             const room = Math.min(ampleRoom, requestRoom(engine, { ...target, layers }, layers.end - layers.first));
-            return subtractRanges(layers, doubled).map(range => ({ ...range, room }));
+            return subtractRanges(layers, replicated).map(range => ({ ...range, room }));
         })
         .sort((a, b) => a.room - b.room || b.end - b.first - (a.end - a.first));
     const standbys: Placement[] = [];
     for (const range of ranges) {
-        for (let first = range.first; first < range.end && left.length > 0;) {
-            const card = left.shift();
-            if (card === undefined) {
+        for (let first = range.first; first < range.end && available.length > 0;) {
+            const candidate = available.shift();
+            if (candidate === undefined) {
                 break;
             }
-            const end = Math.min(range.end, first + card.capacity);
-            standbys.push({ target: card.target, layers: { first, end } });
+            const end = Math.min(range.end, first + candidate.capacity);
+            standbys.push({ target: candidate.target, layers: { first, end } });
             first = end;
         }
     }
     return [...placements, ...standbys];
 }
 
-/** @returns The parts of a range that none of the others covers. */
+/** Returns the parts of a range that none of the other ranges covers. */
 function subtractRanges(range: LayerRange, others: readonly LayerRange[]): LayerRange[] {
     return others.reduce<LayerRange[]>(
         (parts, other) =>
--- a/packages/gateway/src/lib/chains/buildChain.test.ts
+++ b/packages/gateway/src/lib/chains/buildChain.test.ts
@@ -22,7 +22,7 @@
     assert.deepEqual(chain?.hops[0]?.layers, { first: 0, end: 50 });
 });
 
-test("a layer that nobody holds: no chain", () => {
+test("there is no chain when no target holds a layer", () => {
     const targets = [
         testTarget("t1", "small", { first: 0, end: 40 }),
         testTarget("t2", "small", { first: 41, end: 80 }),
@@ -30,12 +30,12 @@
     assert.equal(buildChain("x", targets, testEngine), undefined);
 });
 
-test("one target that holds all layers is a chain of one", () => {
+test("a target that holds all layers is a chain of one hop", () => {
     const chain = buildChain("x", [testTarget("t1", "large", { first: 0, end: 80 })], testEngine);
     assert.deepEqual(chain?.hops.map(({ targetId }) => targetId), ["t1"]);
 });
 
-test("a standby takes the place of a lost target", () => {
+test("a standby replaces a lost target", () => {
     const targets = [
         testTarget("t1", "small", { first: 0, end: 40 }),
         testTarget("t2", "small", { first: 40, end: 80 }),
@@ -46,7 +46,7 @@
     assert.ok(buildChain("x", rest, testEngine) !== undefined);
 });
 
-test("a layer that one data centre lacks is run in another one, with the fewest hops between them", () => {
+test("layers that a data centre lacks are run in another one, with the fewest hops between them", () => {
     const targets = [
         testTarget("t1", "small", { first: 0, end: 40 }, "x"),
         testTarget("t2", "small", { first: 48, end: 80 }, "x"),
@@ -58,7 +58,7 @@
     assert.equal(chain.crossings, 1);
 });
 
-test("a chain begins in the data centre that is asked for", () => {
+test("a chain begins in the requested data centre", () => {
     const targets = [
         testTarget("t1", "small", { first: 0, end: 40 }, "x"),
         testTarget("t2", "small", { first: 40, end: 80 }, "x"),
@@ -69,7 +69,7 @@
     assert.equal(buildChain("z", targets, testEngine), undefined);
 });
 
-test("a target that is short of room runs only the layers that no other holds", () => {
+test("a target that is short of memory runs only the layers that no other target holds", () => {
     const chain = buildChain("x", [
         testTarget("t1", "large", { first: 0, end: 28 }),
         testTarget("t2", "large", { first: 28, end: 56 }),
--- a/packages/gateway/src/lib/chains/buildChain.ts
+++ b/packages/gateway/src/lib/chains/buildChain.ts
@@ -6,21 +6,22 @@
 import { ampleRoom, requestRoom } from "./memory.js";
 
 /**
- * Cost of a hop to another data centre against the reference's time for a whole step. Chosen so high that no detour over
- * slow accelerators is too long to save one: the activations of a usual request take 25 ms (reckoned) of a pipe that all share.
+ * Cost of a hop to another data centre, relative to the time of a full step on the reference accelerator. It exceeds
+ * the cost of any detour over slow accelerators, since the activations of an average request occupy the shared link for
+ * 25 ms.
  */
 const crossingCost = 20;
 /**
- * Cost of a hop whose target has no room for requests at all; one with ample room costs nothing. Chosen: it is worth some
- * more hops over second copies to run fewer layers where room is short.
+ * Cost of a hop whose target has no room for requests; the cost decreases to 0 for a target with ample room. It allows
+ * a few more hops over standbys in order to run fewer layers on a target that is short of memory.
  */
 const shortageCost = 10;
 
 /**
- * Finds the fastest chain that begins in a data centre, with as few hops between data centres as the targets allow.
- * Ranges of targets may overlap; a hop runs only the part of its range that the hops before it left.
+ * Finds the chain with the lowest cost that begins in a data centre, by dynamic programming over the layers. Ranges of
+ * targets may overlap; a hop runs only the part of its range that the hops before it have not run.
  *
- * @param targets - The targets that may take part; those of one data centre give a chain that stays inside it.
+ * @param targets - The targets that may be used; if they all belong to one data centre, so does the chain.
  * @returns Undefined when the targets do not hold all layers.
  */
 export function buildChain(
@@ -44,18 +45,18 @@
     return toChain(dataCentre, cheapest([...best[engine.layers]?.values() ?? []]));
 }
 
-/** How many times longer than its accelerator should a target takes. */
+/** Returns the slowdown of a target: the ratio of its step time to the expected time of its accelerator. */
 export type Slowdown = (targetId: string) => number;
 
-/** By layer: the cheapest way to have run all layers before it, by the data centre that it has come to. */
+/** For each layer, the cheapest partial chain that runs all layers before it, by the data centre of its last hop. */
 type BestSteps = readonly Map<string, Step>[];
 
-/** A hop, and what the chain up to it costs. The first step has no hop yet. */
+/** The last hop of a partial chain, with the cost of that partial chain. The first step has no hop. */
 interface Step {
     readonly cost: number;
     readonly crossings: number;
     readonly room: number;
-    /** Of its slowest target. */
+    /** Slowdown of the slowest target of the partial chain. */
     readonly slowdown: number;
     readonly dataCentre: string;
     readonly before?: Step;
@@ -63,13 +64,15 @@
     readonly layers?: LayerRange;
 }
 
-/** A target comes once in a chain, and the first one is in the data centre in which the chain begins. */
+/**
+ * Ensures that a chain uses each target at most once, and that its first target is in the data centre where it begins.
+ */
 function mayFollow(reached: Step, target: Target, layer: number): boolean {
     const isElsewhere = target.dataCentre !== reached.dataCentre;
     return !(isElsewhere && layer === 0) && !isUsed(reached, target);
 }
 
-/** A target that may run on from a layer. */
+/** A target that may extend a partial chain from a layer on. */
 interface NextHop {
     readonly best: BestSteps;
     readonly reached: Step;
@@ -79,7 +82,9 @@
     readonly slowdown: number;
 }
 
-/** Lets a target run from a layer to every layer that it holds, where no cheaper way there is known. */
+/**
+ * Extends a partial chain by a target, up to each layer that the target holds, where no cheaper partial chain is known.
+ */
 function addHop({ best, reached, target, layer, engine, slowdown }: NextHop): void {
     const { dataCentre } = target;
     const stepFactor = engine.accelerators.find(({ name }) => name === target.accelerator)?.stepFactor ?? 1;
--- a/packages/gateway/src/lib/chains/cards.ts
+++ b/packages/gateway/src/lib/chains/cards.ts
@@ -2,20 +2,23 @@
 import { type Target } from "../directory/Target.js";
 import { layerCapacity } from "./memory.js";
 
-/** Targets as the planner deals them out. */
+/** Targets to which a plan may assign layers. */
 
-/** Time of one more hop against the reference's time for a whole step: transfers and waiting for the next pass. */
+/**
+ * Cost of one more hop, relative to the time of a full step on the reference accelerator. It covers the transfers and
+ * the wait for the next pass.
+ */
 export const hopCost = 0.3;
 
-/** A target and the layers for which it has room. */
-export interface Card {
+/** A target and the number of layers for which it has memory. */
+export interface Candidate {
     readonly target: Target;
     readonly capacity: number;
 }
 
-/** The cards with room for a layer, the cheapest per layer first. */
-export function rankCards(targets: readonly Target[], engine: Engine, concurrency: number): Card[] {
-    const layerCost = ({ target, capacity }: Card) => {
+/** Returns the targets with memory for at least one layer, ordered by increasing cost per layer. */
+export function rankCandidates(targets: readonly Target[], engine: Engine, concurrency: number): Candidate[] {
+    const layerCost = ({ target, capacity }: Candidate) => {
         const accelerator = engine.accelerators.find(({ name }) => name === target.accelerator);
         return (accelerator?.stepFactor ?? Infinity) / engine.layers + hopCost / capacity;
     };
@@ -25,18 +28,21 @@
         .sort((a, b) => layerCost(a) - layerCost(b) || (a.target.id < b.target.id ? -1 : 1));
 }
 
-/** Takes the cheapest card, but for the end of a gap the smallest that holds it, so that a small gap binds no large card. */
-export function takeBestFit(cards: Card[], layers: number): Card | undefined {
-    const fitting = cards.filter(({ capacity }) => capacity >= layers);
-    const best = fitting.length > 0 ? fitting.reduce((a, b) => isBetterFit(b, a) ? b : a) : cards[0];
+/**
+ * Removes and returns the candidate for the next layers of a gap: the smallest one that can hold all of them, so that a
+ * small gap does not use up a large target; otherwise the one with the lowest cost.
+ */
+export function takeBestFit(candidates: Candidate[], layers: number): Candidate | undefined {
+    const fitting = candidates.filter(({ capacity }) => capacity >= layers);
+    const best = fitting.length > 0 ? fitting.reduce((a, b) => isBetterFit(b, a) ? b : a) : candidates[0];
     if (best !== undefined) {
-        cards.splice(cards.indexOf(best), 1);
+        candidates.splice(candidates.indexOf(best), 1);
     }
     return best;
 }
 
-/** Empty targets first, so that second copies stay; then the smaller one. */
-function isBetterFit(a: Card, b: Card): boolean {
-    const isEmpty = ({ target }: Card) => target.layers === undefined;
+/** Prefers targets without layers, so that standbys keep theirs, and then the smaller target. */
+function isBetterFit(a: Candidate, b: Candidate): boolean {
+    const isEmpty = ({ target }: Candidate) => target.layers === undefined;
     return isEmpty(a) === isEmpty(b) ? a.capacity < b.capacity : isEmpty(a);
 }
--- a/packages/gateway/src/lib/chains/closeGaps.ts
+++ b/packages/gateway/src/lib/chains/closeGaps.ts
@@ -1,29 +1,31 @@
 import { type Engine } from "../configuration/Configuration.js";
-import { type Card, takeBestFit } from "./cards.js";
+import { type Candidate, takeBestFit } from "./cards.js";
 import { layerCapacity } from "./memory.js";
 import { type Placement } from "./Placement.js";
 
-/** Closes the gaps between ranges that stay as they are, without making any target give up layers. */
+/** Fills the gaps between ranges that are kept, without making any target give up layers. */
 
-/** Who takes layers of a gap first: free cards, or the neighbours as far as they have room. */
-export type GapOrder = "cardsFirst" | "neighboursFirst";
+/** Whether the layers of a gap go first to candidates, or to the neighbouring targets up to their capacity. */
+export type GapOrder = "candidatesFirst" | "neighboursFirst";
 
 /**
- * Gives the layers of gaps to free cards and to the targets beside them.
+ * Assigns the layers of gaps to candidates and to the targets next to the gaps.
  *
- * @param order - With the neighbours first several gaps need fewer cards, but the neighbours have less room for requests. On a
- * played day that lost 5 and 8 layers of a data centre with one idle target, the chain was out for 10 s with cards first only.
- * @param concurrency - Requests for whose KV cache every target keeps room.
- * @returns Placements without any gap; undefined when the cards and the spare room of neighbours do not suffice.
+ * @param order - "neighboursFirst" needs fewer candidates for several gaps, but leaves the neighbours less memory for
+ * requests. With "candidatesFirst" alone, a data centre with one idle target that lost 5 and 8 layers had no chain for
+ * 10 s on a simulated day.
+ * @param concurrency - Number of requests for whose KV cache every target keeps memory free.
+ * @returns Placements without gaps; undefined when the candidates and the spare capacity of the neighbours do not
+ * suffice.
  */
-export function closeGaps(
+export function fillGaps(
     order: GapOrder,
     kept: readonly Placement[],
-    cards: readonly Card[],
+    candidates: readonly Candidate[],
     engine: Engine,
     concurrency: number,
 ): Placement[] | undefined {
-    const left = [...cards];
+    const remaining = [...candidates];
     const placements: Placement[] = [];
     let covered = 0;
     for (const placement of [...kept, undefined]) {
@@ -31,10 +33,10 @@
         if (order === "neighboursFirst" && covered < gapEnd) {
             covered = extendLast(placements, gapEnd, engine, concurrency, covered);
         }
-        const next = placement === undefined || order === "cardsFirst"
+        const next = placement === undefined || order === "candidatesFirst"
             ? placement
             : extendDown(placement, covered, engine, concurrency);
-        covered = placeCards(placements, left, covered, next?.layers.first ?? engine.layers);
+        covered = placeCandidates(placements, remaining, covered, next?.layers.first ?? engine.layers);
         if (covered < gapEnd) {
             covered = extendLast(placements, gapEnd, engine, concurrency, covered);
         }
@@ -50,22 +52,25 @@
     return covered >= engine.layers ? placements : undefined;
 }
 
-/** Gives a gap to cards, the best fitting first. @returns The first layer that is not covered. */
-function placeCards(placements: Placement[], cards: Card[], gapFirst: number, gapEnd: number): number {
+/** Assigns a gap to candidates, the best fitting first. @returns The first layer that is not covered. */
+function placeCandidates(placements: Placement[], candidates: Candidate[], gapFirst: number, gapEnd: number): number {
     let covered = gapFirst;
     while (covered < gapEnd) {
-        const card = takeBestFit(cards, gapEnd - covered);
-        if (card === undefined) {
+        const candidate = takeBestFit(candidates, gapEnd - covered);
+        if (candidate === undefined) {
             break;
         }
-        const end = Math.min(gapEnd, covered + card.capacity);
-        placements.push({ target: card.target, layers: { first: covered, end } });
+        const end = Math.min(gapEnd, covered + candidate.capacity);
+        placements.push({ target: candidate.target, layers: { first: covered, end } });
         covered = end;
     }
     return covered;
 }
 
-/** Lets the last target take layers up to a bound, as far as it has room. @returns The first layer that is not covered. */
+/**
+ * Extends the last range up to a bound, within the capacity of its target. @returns The first layer that is not
+ * covered.
+ */
 function extendLast(
     placements: Placement[],
     bound: number,
@@ -86,7 +91,7 @@
     return end;
 }
 
-/** Lets a target take layers below its range down to a bound, as far as it has room. */
+/** Extends a range down to a bound, within the capacity of its target. */
 function extendDown({ target, layers }: Placement, bound: number, engine: Engine, concurrency: number): Placement {
     const capacity = layerCapacity(engine, target.accelerator, concurrency);
     const first = Math.max(bound, layers.end - capacity);
--- a/packages/gateway/src/lib/chains/planLayers.test.ts
+++ b/packages/gateway/src/lib/chains/planLayers.test.ts
@@ -34,7 +34,7 @@
     });
 }
 
-test("every plan runs all layers, or is empty", () => {
+test("every plan covers all layers or is empty", () => {
     fc.assert(fc.property(sites, heldRanges, (targets, held) => {
         const before = withHeld(targets, held);
         const placements = planLayers(before, testEngine);
@@ -53,7 +53,7 @@
     }));
 });
 
-test("a plan that was carried out stays as it is", () => {
+test("planning again after a plan was carried out changes nothing", () => {
     fc.assert(fc.property(sites, targets => {
         const carriedOut = apply(targets, planLayers(targets, testEngine));
         const again = apply(carriedOut, planLayers(carriedOut, testEngine));
@@ -61,14 +61,14 @@
     }));
 });
 
-test("no target is planned twice", () => {
+test("no target occurs twice in a plan", () => {
     fc.assert(fc.property(sites, heldRanges, (targets, held) => {
         const ids = planLayers(withHeld(targets, held), testEngine).map(({ target }) => target.id);
         assert.equal(new Set(ids).size, ids.length);
     }));
 });
 
-test("a lost target's layers go to others, and the rest keep theirs", () => {
+test("the layers of a lost target are assigned to others, and the remaining targets keep theirs", () => {
     const targets = ["large", ...Array.from({ length: 9 }, () => "small")].map((kind, i) => testTarget(`t${i}`, kind));
     const carriedOut = apply(targets, planLayers(targets, testEngine));
     const chain = buildChain("x", carriedOut, testEngine);
@@ -84,11 +84,11 @@
     }
 });
 
-test("too little memory for a copy: nothing is planned", () => {
+test("the plan is empty when the memory does not suffice for a complete copy", () => {
     assert.deepEqual(planLayers([testTarget("t0", "large")], testEngine), []);
 });
 
-test("more targets leave more room for requests", () => {
+test("with more targets, each holds fewer layers and keeps more memory for requests", () => {
     const few = Array.from({ length: 8 }, (_, i) => testTarget(`t${i}`, "small"));
     const many = Array.from({ length: 14 }, (_, i) => testTarget(`t${i}`, "small"));
     const largest = (targets: Target[]) =>
@@ -96,7 +96,7 @@
     assert.ok(largest(many) < largest(few));
 });
 
-test("a lost range that no free target can take shifts the borders next to it, not all of them", () => {
+test("a lost range that no idle target can take shifts only nearby boundaries", () => {
     const targets = Array.from(
         { length: 12 },
         (_, i) => testTarget(`t${i}`, "small", { first: i * 7, end: Math.min(80, i * 7 + 7) }),
@@ -111,7 +111,7 @@
     assert.ok(changed.length <= 6, `${changed.length} targets changed`);
 });
 
-test("a target that is short of room is relieved first", () => {
+test("the target that is shortest of memory gets a standby first", () => {
     const targets = [
         testTarget("t1", "large", { first: 0, end: 28 }),
         testTarget("t2", "large", { first: 28, end: 56 }),
@@ -125,7 +125,7 @@
 
 const losses = fc.array(fc.nat(15), { minLength: 1, maxLength: 3 });
 
-test("targets that requests are on give up no layers, whatever is lost, unless borders may move", () => {
+test("targets that serve requests give up no layers, whatever is lost, unless boundaries may be moved", () => {
     fc.assert(fc.property(sites, losses, (targets, lost) => {
         const carriedOut = apply(targets, planLayers(targets, testEngine));
         const inUse = new Set(buildChain("x", carriedOut, testEngine)?.hops.map(({ targetId }) => targetId));
@@ -139,14 +139,14 @@
     }));
 });
 
-/** A data centre of two middle and eleven small targets, which carry out its plan. */
+/** Creates a data centre of two middle and eleven small targets that hold the layers of their plan. */
 function planDataCentre(): Target[] {
     const kinds = ["middle", "middle", ...Array.from({ length: 11 }, () => "small")];
     const targets = kinds.map((kind, index) => testTarget(`t${index}`, kind));
     return apply(targets, planLayers(targets, testEngine));
 }
 
-/** Milliseconds until the last target that a plan changes has loaded what it lacks. */
+/** Returns the milliseconds until every target of a plan has loaded the layers that it lacks. */
 function loadTime(before: readonly Target[], placements: readonly Placement[]): number {
     const loads = placements.map(({ target, layers }) => {
         const held = before.find(({ id }) => id === target.id)?.layers;
@@ -157,7 +157,7 @@
     return Math.max(...loads) * testEngine.loadTime / testEngine.layers;
 }
 
-test("one lost target: its data centre has a chain again within 2 s, and no request is disturbed", () => {
+test("a data centre that lost one target has a chain again within 2 s, and no request is disturbed", () => {
     const targets = planDataCentre();
     const hops = buildChain("x", targets, testEngine)?.hops ?? [];
     const small = hops.filter(({ targetId }) =>
@@ -172,7 +172,7 @@
     }
 });
 
-test("two gaps and one idle target: neighbours take the smaller gap", () => {
+test("with two gaps and one idle target, the neighbours take the smaller gap", () => {
     const held: (readonly [string, LayerRange | undefined])[] = [
         ["small", { first: 0, end: 8 }],
         ["small", { first: 10, end: 18 }],
--- a/packages/gateway/src/lib/chains/planLayers.ts
+++ b/packages/gateway/src/lib/chains/planLayers.ts
@@ -2,59 +2,67 @@
 import { type Target } from "../directory/Target.js";
 import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
 import { addStandbys } from "./addStandbys.js";
-import { type Card, rankCards } from "./cards.js";
-import { closeGaps } from "./closeGaps.js";
+import { type Candidate, rankCandidates } from "./cards.js";
+import { fillGaps } from "./closeGaps.js";
 import { type Placement } from "./Placement.js";
 import { shiftRanges } from "./shiftRanges.js";
 
 /**
- * Plans which layers the targets of one data centre hold: one whole copy on the fastest accelerators, and standbys that
- * hold a second copy of some ranges on what is left.
+ * Plans which layers the targets of one data centre hold: one complete copy on the fastest accelerators, and standbys
+ * that hold a second copy of some ranges on the remaining targets.
  */
 
 /**
- * Requests for whose KV cache every target of a new chain keeps room, tried in this order; the last is the least. The first two
- * are for data centres with more memory than one chain of usual room needs: there requests, not losses, take it up. On two
- * played days with 20 targets a data centre the mean worth was 0.327 with room for 80, and 0.467 with these and shorter heartbeats. A target takes no
- * more than 134 requests as the first of a chain, so more would be of no use. 80 is a little below ample room, so that some
- * targets are left for second copies and lost ranges: means of 15 played days 0.680, with room for 96 0.666
- * (and two smaller changes between them).
+ * Numbers of requests for whose KV cache every target of a new chain keeps memory free, tried in this order. The first
+ * two apply to data centres with more memory than one chain of ordinary room needs, where load rather than loss of
+ * targets is the limit: on two simulated days with 20 targets per data centre the mean share of the request value was
+ * 0.327 with 80 alone, and 0.467 with them and shorter heartbeats. The first target of a chain accepts at most 134
+ * requests, so higher levels gain nothing. 80 is slightly below ample room, which leaves targets for standbys and lost
+ * ranges: the mean of 15 simulated days was 0.680 with it and 0.666 with 96, with two smaller changes between the runs.
  */
 const newChainLevels: readonly { readonly level: number; readonly spare: number; }[] = [
     { level: 128, spare: 0.3 },
     { level: 96, spare: 0.3 },
     ...[80, 56, 40, 24, 12].map(level => ({ level, spare: 0 })),
 ];
-/** The same for chains that are repaired. */
+/** The same for repairs of existing chains. */
 const repairLevels = [80, 56, 40, 24, 12];
 
-/** What a plan must not touch, or may. */
+/** Options of {@link planLayers}. */
 export interface PlanOptions {
-    /** Ids of targets that requests are on: they give up no layers, which would take until the last of these has ended. */
+    /**
+     * Ids of targets that serve requests. They keep all their layers, since a target gives up layers only after its
+     * last request has ended.
+     */
     readonly inUse?: ReadonlySet<string>;
-    /** Whether borders between ranges may be moved when nothing else helps. Default true. */
+    /** Whether boundaries between ranges may be moved when no other repair is possible. Default true. */
     readonly mayShift?: boolean;
     readonly isOn?: MechanismSwitch;
 }
 
 /**
- * Plans one data centre. What targets hold already stays where it can, since every load takes seconds.
+ * Plans one data centre. Layers stay on the targets that hold them where possible, since loading layers takes seconds.
  *
- * @param targets - Its targets that are ready and believed to be well.
- * @returns What every planned target should hold; targets that are not named keep what they hold. Empty when the targets
+ * @param targets - Targets of the data centre that are ready and not suspected.
+ * @returns The layers of each planned target; targets without a placement keep their layers. Empty when the targets
  * cannot hold all layers.
  */
 export function planLayers(targets: readonly Target[], engine: Engine, options: PlanOptions = {}): Placement[] {
     const { inUse = new Set(), mayShift = true, isOn = allMechanisms } = options;
     const kept = keepRanges(targets, engine);
-    const tries = kept.length === 0
-        ? newChainLevels.filter(step => hasSpare(targets, engine, step)).map(({ level }) => ({ level, plan: planAnew }))
-        : repairs.filter(({ plan }) => plan === shiftRanges ? mayShift : plan === fillGaps || isOn("neighbours"));
+    const attempts = kept.length === 0
+        ? newChainLevels.filter(step => hasSpare(targets, engine, step)).map(({ level }) => ({
+            level,
+            plan: planFromScratch,
+        }))
+        : repairs.filter(({ plan }) =>
+            plan === shiftRanges ? mayShift : plan === fillWithCandidates || isOn("neighbours")
+        );
     const idle = targets.filter(target =>
         !inUse.has(target.id) && kept.every(placement => placement.target !== target)
     );
-    for (const { level, plan } of tries) {
-        const filled = plan(kept, rankCards(idle, engine, level), engine, level);
+    for (const { level, plan } of attempts) {
+        const filled = plan(kept, rankCandidates(idle, engine, level), engine, level);
         if (filled !== undefined) {
             return isOn("second-copies") ? addStandbys(filled, targets, engine, level) : filled;
         }
@@ -62,43 +70,47 @@
     return [];
 }
 
-/** Whether targets with so much room hold a whole copy and a share of another one. */
+/** Whether the targets can hold a complete copy and the given share of a second one at this concurrency. */
 function hasSpare(
     targets: readonly Target[],
     engine: Engine,
     step: { readonly level: number; readonly spare: number; },
 ): boolean {
-    const capacity = rankCards(targets, engine, step.level).reduce((sum, card) => sum + card.capacity, 0);
+    const capacity = rankCandidates(targets, engine, step.level).reduce(
+        (sum, candidate) => sum + candidate.capacity,
+        0,
+    );
     return capacity >= engine.layers * (1 + step.spare);
 }
 
-/** Makes placements out of what is kept and cards that are free. @returns Undefined when they do not suffice. */
+/** Combines kept placements and candidates into a plan. @returns Undefined when they do not suffice. */
 type Planner = (
     kept: readonly Placement[],
-    cards: readonly Card[],
+    candidates: readonly Candidate[],
     engine: Engine,
     concurrency: number,
 ) => Placement[] | undefined;
 
-const fillGaps: Planner = (kept, cards, engine, concurrency) =>
-    closeGaps("cardsFirst", kept, cards, engine, concurrency);
-const extendNeighbours: Planner = (kept, cards, engine, concurrency) =>
-    closeGaps("neighboursFirst", kept, cards, engine, concurrency);
-/** Gives the layers to the cheapest cards that suffice, each filled up. */
-const planAnew: Planner = (_kept, cards, engine, concurrency) => fillGaps([], cards, engine, concurrency);
+const fillWithCandidates: Planner = (kept, candidates, engine, concurrency) =>
+    fillGaps("candidatesFirst", kept, candidates, engine, concurrency);
+const extendNeighbours: Planner = (kept, candidates, engine, concurrency) =>
+    fillGaps("neighboursFirst", kept, candidates, engine, concurrency);
+/** Assigns all layers to the candidates with the lowest cost, each filled up to its capacity. */
+const planFromScratch: Planner = (_kept, candidates, engine, concurrency) =>
+    fillWithCandidates([], candidates, engine, concurrency);
 
 /**
- * The ways to repair a data centre, the best first. Filling gaps with idle targets disturbs no request and takes 1.2 to 1.8 s
- * (reckoned from the load time). Shifted ranges make targets give up layers, and they load new ones only once the streams
- * under way have ended: 5.1 to 9.4 s on played days. So room goes down to the least before ranges are shifted: the router
- * sends fewer requests, and second copies relieve.
+ * The repairs of a data centre in order of preference. Filling gaps with idle targets disturbs no request and takes 1.2
+ * to 1.8 s. Shifting ranges makes targets give up layers, and they load new ones only after the streams in flight have
+ * ended, which takes 5.1 to 9.4 s. So the concurrency is lowered to its minimum before ranges are shifted; the router
+ * then sends fewer requests, and standbys take part of the load.
  */
 const repairs: readonly { readonly level: number; readonly plan: Planner; }[] = [
-    ...repairLevels.flatMap(level => [{ level, plan: fillGaps }, { level, plan: extendNeighbours }]),
+    ...repairLevels.flatMap(level => [{ level, plan: fillWithCandidates }, { level, plan: extendNeighbours }]),
     ...repairLevels.slice(1).map(level => ({ level, plan: shiftRanges })),
 ];
 
-/** Of the ranges that are held, those of the chain that leaves the fewest layers uncovered with the fewest targets. */
+/** Selects the held ranges that leave the fewest layers uncovered with the fewest targets, in order of their layers. */
 function keepRanges(targets: readonly Target[], engine: Engine): Placement[] {
     const held = targets
         .flatMap(target => target.layers === undefined ? [] : [{ target, layers: target.layers }])
