--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -168,7 +168,7 @@
                     [...this.services.values()].flatMap(({ chains }) => chains?.headLoads() ?? []),
                 ),
                 suspects: this.suspicions.listLost(),
-                slowTargets: this.paces.listOwn(),
+                slowTargets: this.paces.listObserved(),
                 crashes: this.crashes.counts.listSeen(),
                 dutyTerm: this.lease.isHeld ? this.lease.term : undefined,
                 mayTakeDuty: this.contact.isWhole && this.lease.mayAcquire && !this.isStopping,
@@ -176,7 +176,7 @@
             words: () => this.words,
             onWord: (table, word, after) => this.hearWord(table, word, after),
             onSums: ({ slowTargets, crashes }) => {
-                this.paces.hear(slowTargets);
+                this.paces.recordPeerReports(slowTargets);
                 this.crashes.counts.hear(crashes);
             },
         });
--- a/packages/gateway/src/lib/chains/ChainService.test.ts
+++ b/packages/gateway/src/lib/chains/ChainService.test.ts
@@ -73,7 +73,7 @@
 test("a target that stalls others counts as lost", async () => {
     const { clock, suspicions, reports, service, load } = createService();
     reports.set(1_001, { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
-    service.broke(load, false);
+    service.streamFailed(load, false);
     await clock.advanceAsync(10);
     assert.equal(suspicions.isLost("t2"), true);
 });
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -154,7 +154,7 @@
     }
 
     /** Returns the condition of a chain as log fields. */
-    evidence({ lastEventAt }: ChainLoad): ChainDiagnostics {
+    diagnostics({ lastEventAt }: ChainLoad): ChainDiagnostics {
         return {
             chainSilence: Math.round(this.options.clock.now() - lastEventAt),
             loopDelay: Math.round(this.loop.recent),
@@ -234,7 +234,7 @@
      *
      * @param neverSent - Whether no connection to the first target could be opened.
      */
-    broke(load: ChainLoad, neverSent: boolean): void {
+    streamFailed(load: ChainLoad, neverSent: boolean): void {
         const head = load.chain.hops[0];
         if (neverSent && head !== undefined) {
             this.inspector.avoidUnreachable(head.targetId);
--- a/packages/gateway/src/lib/chains/TargetPaces.test.ts
+++ b/packages/gateway/src/lib/chains/TargetPaces.test.ts
@@ -24,9 +24,9 @@
 test("a peer's report is valid for a second and is not forwarded", () => {
     const clock = new ManualClock();
     const paces = new TargetPaces(clock);
-    paces.hear({ a: 6 });
+    paces.recordPeerReports({ a: 6 });
     assert.equal(paces.slowdown("a"), 6);
-    assert.deepEqual(paces.listOwn(), {});
+    assert.deepEqual(paces.listObserved(), {});
     clock.advance(1_000);
     assert.equal(paces.slowdown("a"), 1);
 });
--- a/packages/gateway/src/lib/chains/TargetPaces.ts
+++ b/packages/gateway/src/lib/chains/TargetPaces.ts
@@ -41,7 +41,7 @@
     }
 
     /** Records the slow targets that peers have observed themselves. */
-    hear(slow: SlowTargets): void {
+    recordPeerReports(slow: SlowTargets): void {
         const end = this.clock.now() + peerReportLifetime;
         Object.entries(slow).forEach(([id, slowdown]) => this.peerReported.set(id, { slowdown, end }));
     }
@@ -52,7 +52,7 @@
     }
 
     /** Returns the slow targets that this process has observed itself, to be sent to its peers. */
-    listOwn(): SlowTargets {
+    listObserved(): SlowTargets {
         const slow = [...this.observed.keys()].map(id => [id, this.currentSlowdown(this.observed, id)] as const);
         return Object.fromEntries(slow.filter(([, slowdown]) => slowdown > 1));
     }
--- a/packages/gateway/src/lib/chains/addStandbys.ts
+++ b/packages/gateway/src/lib/chains/addStandbys.ts
@@ -1,6 +1,6 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type LayerRange, type Target } from "../directory/Target.js";
-import { rankCandidates } from "./cards.js";
+import { rankCandidates } from "./candidates.js";
 import { ampleRoom, requestRoom } from "./memory.js";
 import { type Placement } from "./Placement.js";
 
--- a/packages/gateway/src/lib/chains/buildChain.ts
+++ b/packages/gateway/src/lib/chains/buildChain.ts
@@ -1,7 +1,7 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { addressOf, incarnationOf, type LayerRange, type Target } from "../directory/Target.js";
 import { type Hop } from "../requests/messages.js";
-import { hopCost } from "./cards.js";
+import { hopCost } from "./candidates.js";
 import { type Chain } from "./Chain.js";
 import { ampleRoom, requestRoom } from "./memory.js";
 
--- a/packages/gateway/src/lib/chains/closeGaps.ts
+++ b/packages/gateway/src/lib/chains/fillGaps.ts
@@ -1,5 +1,5 @@
 import { type Engine } from "../configuration/Configuration.js";
-import { type Candidate, takeBestFit } from "./cards.js";
+import { type Candidate, takeBestFit } from "./candidates.js";
 import { layerCapacity } from "./memory.js";
 import { type Placement } from "./Placement.js";
 
--- a/packages/gateway/src/lib/chains/planLayers.ts
+++ b/packages/gateway/src/lib/chains/planLayers.ts
@@ -2,8 +2,8 @@
 import { type Target } from "../directory/Target.js";
 import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
 import { addStandbys } from "./addStandbys.js";
-import { type Candidate, rankCandidates } from "./cards.js";
-import { fillGaps } from "./closeGaps.js";
+import { type Candidate, rankCandidates } from "./candidates.js";
+import { fillGaps } from "./fillGaps.js";
 import { type Placement } from "./Placement.js";
 import { shiftRanges } from "./shiftRanges.js";
 
--- a/packages/gateway/src/lib/chains/shiftRanges.ts
+++ b/packages/gateway/src/lib/chains/shiftRanges.ts
@@ -1,6 +1,6 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type Target } from "../directory/Target.js";
-import { type Candidate } from "./cards.js";
+import { type Candidate } from "./candidates.js";
 import { layerCapacity } from "./memory.js";
 import { type Placement } from "./Placement.js";
 
--- a/packages/gateway/src/lib/requests/StreamRun.ts
+++ b/packages/gateway/src/lib/requests/StreamRun.ts
@@ -140,7 +140,7 @@
     }
 
     onFailure(attempt: ChainAttempt, { neverSent, reason }: ExchangeFailure): void {
-        this.service.broke(attempt.load, neverSent);
+        this.service.streamFailed(attempt.load, neverSent);
         if (!neverSent) {
             const { target, startedAt, firstEventAt } = attempt;
             this.crashCheck.noteInterrupted({ target, startedAt, repliedAt: firstEventAt });
@@ -384,6 +384,6 @@
     private logFields(attempt: ChainAttempt): object {
         const { request, digest } = this.caller;
         const silence = Math.round(this.context.clock.now() - this.lastEventAt);
-        return { request: request.id, digest, silence, ...this.service.evidence(attempt.load) };
+        return { request: request.id, digest, silence, ...this.service.diagnostics(attempt.load) };
     }
 }
