--- a/packages/gateway/src/lib/requests/AttemptLimits.test.ts
+++ b/packages/gateway/src/lib/requests/AttemptLimits.test.ts
@@ -67,11 +67,11 @@
 });
 
 test("a retry beside a send in flight is allowed only while the budget lasts", () => {
-    const [poor, rich] = [createLimits(0), createLimits(1)];
-    poor.limits.begin("t1", "waiting");
-    rich.limits.begin("t1", "waiting");
-    assert.equal(poor.limits.mayBegin("running"), false);
-    assert.equal(rich.limits.mayBegin("running"), true);
+    const [withoutBudget, withBudget] = [createLimits(0), createLimits(1)];
+    withoutBudget.limits.begin("t1", "waiting");
+    withBudget.limits.begin("t1", "waiting");
+    assert.equal(withoutBudget.limits.mayBegin("running"), false);
+    assert.equal(withBudget.limits.mayBegin("running"), true);
 });
 
 test("with all attempts used, only targets that the request reached before may get it again", () => {
--- a/packages/gateway/src/lib/requests/CallerExchange.ts
+++ b/packages/gateway/src/lib/requests/CallerExchange.ts
@@ -25,7 +25,7 @@
 }
 
 /** Hop-by-hop headers, which a gateway must not forward. */
-const connectionHeaders = new Set([
+const hopByHopHeaders = new Set([
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -280,7 +280,7 @@
     const kept: string[] = [];
     for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
         const name = rawHeaders[i] ?? "";
-        if (!connectionHeaders.has(name.toLowerCase())) {
+        if (!hopByHopHeaders.has(name.toLowerCase())) {
             kept.push(name, rawHeaders[i + 1] ?? "");
         }
     }
--- a/packages/gateway/src/lib/requests/ChainChoice.ts
+++ b/packages/gateway/src/lib/requests/ChainChoice.ts
@@ -52,7 +52,7 @@
         return this.choose(excluded => this.options.service.chooseWell(excluded), this.failed);
     }
 
-    /** @returns The same, but only a chain with room. */
+    /** @returns A healthy chain with room, other than those that the request is running on. */
     chooseAlternativeWithRoom(): ChainLoad | undefined {
         return this.choose(excluded => this.options.service.chooseWithRoom(excluded), this.failed);
     }
--- a/packages/gateway/src/lib/requests/StartQueue.ts
+++ b/packages/gateway/src/lib/requests/StartQueue.ts
@@ -40,18 +40,18 @@
             onRequest(request);
             return;
         }
-        const waiting = { request, timer: clock.schedule(() => this.pass(waiting), maxWaitTime) };
+        const waiting = { request, timer: clock.schedule(() => this.forward(waiting), maxWaitTime) };
         this.waiting.add(waiting);
     }
 
     /** Forwards all waiting requests if the process is ready. */
     release(): void {
         if (this.options.isReady()) {
-            this.waiting.forEach(waiting => this.pass(waiting));
+            this.waiting.forEach(waiting => this.forward(waiting));
         }
     }
 
-    private pass(waiting: Waiting): void {
+    private forward(waiting: Waiting): void {
         waiting.timer.cancel();
         this.waiting.delete(waiting);
         if (!waiting.request.response.destroyed) {
--- a/packages/gateway/src/lib/services/ServicePicker.ts
+++ b/packages/gateway/src/lib/services/ServicePicker.ts
@@ -30,7 +30,7 @@
 const remotePenalty = 10;
 /** Half-life of a failure in milliseconds, short enough that a failed target is tried again within seconds. */
 const failureHalfLife = 2_000;
-/** Factor by which one recent failure adds to the cost of a target. */
+/** Relative increase of a target's cost per recent failure. */
 const failureWeight = 3;
 
 /** Chooses targets of a service without chains, by the outcomes of this process's own requests to them. */
