--- a/packages/gateway/src/lib/observation/LogDestination.test.ts
+++ b/packages/gateway/src/lib/observation/LogDestination.test.ts
@@ -22,7 +22,7 @@
     }
 }
 
-test("lines come out whole and in order", async context => {
+test("lines are written completely and in order", async context => {
     const { descriptor, read } = createFile(context);
     const destination = new LogDestination({ descriptor, delay: 1 });
     const lines = Array.from({ length: 100 }, (_, index) => `line ${index}\n`);
@@ -33,7 +33,7 @@
     assert.equal(read(), lines.join(""));
 });
 
-test("what does not fit is dropped and counted, and later lines are written again", async context => {
+test("lines that exceed the buffer are dropped and counted, and later lines are written", async context => {
     const { descriptor, read } = createFile(context);
     const destination = new LogDestination({ descriptor, delay: 1, maxPending: 20 });
     ["0123456789\n", "01234567\n", "dropped\n", "dropped\n"].forEach(line => destination.write(line));
@@ -46,7 +46,7 @@
     });
 });
 
-test("nobody reads: later lines neither throw nor pile up", async () => {
+test("output that fails: later lines neither throw nor accumulate", async () => {
     const noDescriptor = 1_000_000;
     const destination = new LogDestination({ descriptor: noDescriptor, delay: 1, maxPending: 10 });
     destination.write("12345678\n");
--- a/packages/gateway/src/lib/observation/LogDestination.ts
+++ b/packages/gateway/src/lib/observation/LogDestination.ts
@@ -4,25 +4,25 @@
 export interface LogDestinationOptions {
     /** The file descriptor to write to. Default: standard output. */
     readonly descriptor?: number;
-    /** Bytes that may wait; lines beyond are dropped and counted. */
+    /** Maximum bytes to buffer; further lines are dropped and counted. */
     readonly maxPending?: number;
-    /** Milliseconds for which lines are gathered into one write. */
+    /** Milliseconds for which lines are collected into one write. */
     readonly delay?: number;
 }
 
 /**
- * Chosen, not measured as a limit: some four thousand lines of 257 B, the mean of a played day on which six processes
- * together wrote 358 lines in the busiest second.
+ * Bytes, enough for about four thousand lines of the mean size of 257 B. In a simulated day, six processes together
+ * wrote 358 lines in the busiest second.
  */
 const defaultMaxPending = 1_000_000;
 const defaultDelay = 20;
 const standardOutput = 1;
-/** Milliseconds to wait when the pipe is full. */
+/** Milliseconds to wait before the next write when the pipe is full. */
 const retryDelay = 50;
 
 /**
- * Writes log lines without ever blocking the event loop: at most one write is under way, lines wait meanwhile in a
- * bounded buffer, and what does not fit is dropped, counted and told in a line of its own.
+ * Writes log lines without blocking the event loop. At most one write is in progress; further lines wait in a bounded
+ * buffer, and lines that do not fit are dropped and reported as a count in a separate line.
  */
 export class LogDestination {
     private pending: string[] = [];
@@ -39,7 +39,7 @@
         this.delay = options.delay ?? defaultDelay;
     }
 
-    /** Takes one line, with its line feed. */
+    /** Queues one line, which includes its line feed. */
     write(line: string): void {
         if (this.pendingBytes + line.length > this.maxPending) {
             this.droppedLines++;
@@ -67,7 +67,7 @@
         write(this.descriptor, data, 0, data.length, null, (error, written) => {
             const rest = error === null ? data.subarray(written) : data;
             if (error !== null && error.code !== "EAGAIN") {
-                // Nobody reads the logs any more, and there is no other place to say so.
+                // The output was closed, and there is no other place to report the error.
                 this.pendingBytes = 0;
                 this.isWriting = false;
                 return;
--- a/packages/gateway/src/lib/observation/LoopDelay.test.ts
+++ b/packages/gateway/src/lib/observation/LoopDelay.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { LoopDelay } from "./LoopDelay.js";
 
-test("loop delay: the longest of the last second counts", () => {
+test("loop delay: recent is the longest delay of the last second", () => {
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
     assert.equal(loop.recent, 0);
@@ -17,14 +17,14 @@
     assert.equal(loop.recent, 0);
 });
 
-test("loop delay: a timer that runs early is not late", () => {
+test("loop delay: a timer that fires early has no delay", () => {
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
     assert.equal(loop.note(1_002), 0);
     assert.equal(loop.recent, 0);
 });
 
-test("loop delay: only what was lost since a moment counts against it", () => {
+test("loop delay: only the blocked time after the given moment counts", () => {
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
     loop.note(900);
--- a/packages/gateway/src/lib/observation/LoopDelay.ts
+++ b/packages/gateway/src/lib/observation/LoopDelay.ts
@@ -5,14 +5,14 @@
     readonly duration: number;
 }
 
-/** Milliseconds for which delays are remembered. */
-const span = 1_000;
-/** Milliseconds of a delay from which it counts: timers are always a little late. */
-const leastDelay = 2;
+/** Milliseconds for which delays are kept. */
+const retention = 1_000;
+/** Minimum delay in milliseconds that counts, because timers are always slightly late. */
+const minDelay = 2;
 
 /**
- * How late the timers of this process ran of late. A process that stands still reads nothing either, so what seems silent to it may
- * have answered.
+ * Tracks event loop delay, measured by how late timers fire. While its event loop is blocked a process reads no
+ * replies, so a peer that seems unresponsive may have replied in time.
  */
 export class LoopDelay {
     private delays: Delay[] = [];
@@ -20,16 +20,16 @@
     constructor(private readonly clock: Clock) {}
 
     /**
-     * Notes that a timer runs now.
+     * Records that a timer fires now.
      *
-     * @param due - When it should have run, on the clock.
-     * @returns Milliseconds that it was late.
+     * @param due - When the timer was due, on the clock.
+     * @returns Milliseconds by which the timer is late.
      */
     note(due: number): number {
         const at = this.clock.now();
         const duration = Math.max(0, at - due);
-        if (duration >= leastDelay) {
-            this.delays = this.delays.filter(delay => delay.at > at - span);
+        if (duration >= minDelay) {
+            this.delays = this.delays.filter(delay => delay.at > at - retention);
             this.delays.push({ at, duration });
         }
         return duration;
@@ -37,11 +37,11 @@
 
     /** The longest delay of the last second, in milliseconds. */
     get recent(): number {
-        const durations = this.since(this.clock.now() - span).map(({ duration }) => duration);
+        const durations = this.since(this.clock.now() - retention).map(({ duration }) => duration);
         return Math.max(0, ...durations);
     }
 
-    /** Milliseconds that this process stood still since a moment of the last second, at least. */
+    /** Minimum milliseconds for which the event loop was blocked since a moment within the last second. */
     stoodStillSince(moment: number): number {
         return this.since(moment).reduce((sum, { at, duration }) => sum + Math.min(duration, at - moment), 0);
     }
--- a/packages/gateway/src/lib/observation/Observation.ts
+++ b/packages/gateway/src/lib/observation/Observation.ts
@@ -99,7 +99,7 @@
     }
 }
 
-/** What the parts of a gateway report to. */
+/** The loggers and metrics that the parts of a gateway report to. */
 export interface Observation {
     readonly logs: Logs;
     readonly metrics: GatewayMetrics;
