--- a/packages/gateway/src/lib/directory/TargetDirectory.test.ts
+++ b/packages/gateway/src/lib/directory/TargetDirectory.test.ts
@@ -15,13 +15,13 @@
     return { clock, directory, changes };
 }
 
-test("removed while the store is well: gone at once", () => {
+test("removed while the store works: dropped immediately", () => {
     const { directory } = createDirectory();
     directory.remove("a", -Infinity);
     assert.deepEqual(directory.readyTargets("s"), []);
 });
 
-test("removed within the grace after an outage: in use until the grace ends, not longer", () => {
+test("removed within the grace period after an outage: in use until the period ends, not longer", () => {
     const { clock, directory } = createDirectory();
     directory.remove("a", clock.now() + 400);
     clock.advance(399);
@@ -30,14 +30,14 @@
     assert.equal(directory.readyTargets("s").length, 0);
 });
 
-test("removed after the grace has ended: gone at once, however recent the outage", () => {
+test("removed after the grace period: dropped immediately, however recent the outage", () => {
     const { clock, directory } = createDirectory();
     clock.advance(3_000);
     directory.remove("a", clock.now() - 1);
     assert.equal(directory.get("a"), undefined);
 });
 
-test("a lapse tells for how long the target is kept", () => {
+test("a lapse reports for how long the target is kept", () => {
     const clock = new ManualClock();
     const kept: (number | undefined)[] = [];
     const directory = new TargetDirectory({ clock, onChange: ({ keptFor }) => kept.push(keptFor) });
@@ -46,7 +46,7 @@
     assert.deepEqual(kept, [undefined, 400]);
 });
 
-test("the age of the list counts from the moment to which it was confirmed", () => {
+test("the age of the directory is measured from the moment to which it was confirmed", () => {
     const { clock, directory } = createDirectory();
     assert.equal(directory.age, Infinity);
     const asked = currentMoment(clock);
@@ -56,7 +56,7 @@
     assert.equal(directory.age, 750);
 });
 
-test("back within the grace: stays", () => {
+test("a target whose entry is written again within the grace period stays", () => {
     const { clock, directory, changes } = createDirectory();
     directory.remove("a", clock.now() + 400);
     directory.put(target);
@@ -65,26 +65,26 @@
     assert.deepEqual(changes, ["added", "lapsed", "returned"]);
 });
 
-test("a draining target that vanishes has left, also after an outage", () => {
+test("a draining target that is removed is dropped immediately, even after an outage", () => {
     const { clock, directory } = createDirectory();
     directory.put({ ...target, state: "draining" });
     directory.remove("a", clock.now() + 400);
     assert.equal(directory.get("a"), undefined);
 });
 
-test("a draining target gets no new work", () => {
+test("a draining target gets no new requests", () => {
     const { directory } = createDirectory();
     directory.put({ ...target, state: "draining" });
     assert.deepEqual(directory.readyTargets("s"), []);
 });
 
-test("whatever a whole list lacks is removed", () => {
+test("targets that are missing from a complete list are removed", () => {
     const { directory } = createDirectory();
     directory.replaceAll([{ ...target, id: "b" }], -Infinity);
     assert.deepEqual(directory.list().map(({ id }) => id), ["b"]);
 });
 
-test("a restart under the same id is told, and what the target held is gone", () => {
+test("a restart under the same id is reported, and clears the layers of the target", () => {
     const { directory, changes } = createDirectory();
     directory.put({ ...target, startedAt: 1, layers: { first: 0, end: 5 } });
     directory.put({ ...target, startedAt: 2 });
@@ -92,7 +92,7 @@
     assert.equal(changes.at(-1), "restarted");
 });
 
-test("a late entry of an earlier start changes nothing", () => {
+test("a late entry of an earlier incarnation is ignored", () => {
     const { clock, directory, changes } = createDirectory();
     directory.put({ ...target, startedAt: 2 });
     clock.advance(6_000);
@@ -101,7 +101,7 @@
     assert.equal(changes.at(-1), "stale");
 });
 
-test("a clock that was set back: the earlier time of start is believed once the later one is long unseen", () => {
+test("an earlier start time is accepted once the later one has not been seen for 8 s: the clock was set back", () => {
     const { clock, directory } = createDirectory();
     directory.put({ ...target, startedAt: 9_000 });
     clock.advance(8_000);
@@ -109,7 +109,7 @@
     assert.equal(directory.get("a")?.startedAt, 4_000);
 });
 
-test("a target's own word of a new start comes before its entry, which is of the earlier one", () => {
+test("a reply of a new incarnation marks the target as restarted before its entry changes", () => {
     const { directory } = createDirectory();
     const earlier: Target = { ...target, startedAt: 1, layers: { first: 0, end: 5 } };
     directory.put(earlier);
@@ -121,7 +121,7 @@
     assert.deepEqual(directory.get("a")?.layers, { first: 5, end: 9 });
 });
 
-test("news of an earlier start does not hold", () => {
+test("a reply of an earlier incarnation does not apply to the current entry", () => {
     const { directory } = createDirectory();
     const later = { ...target, startedAt: 2 };
     directory.put(later);
@@ -146,7 +146,7 @@
     assert.equal(changes.filter(kind => kind === "stale").length, 3);
 });
 
-test("a target that is written again after all is taken, and so is a whole list later", () => {
+test("a target ignored in a restored list is added by the next complete list", () => {
     const { directory } = createDirectory();
     directory.remove("a", -Infinity);
     directory.replaceAll([target], -Infinity, true);
--- a/packages/gateway/src/lib/directory/TargetDirectory.ts
+++ b/packages/gateway/src/lib/directory/TargetDirectory.ts
@@ -3,12 +3,16 @@
 import { ageOf, type Moment } from "../Moment.js";
 import { incarnationOf, type Target } from "./Target.js";
 
-/** What happened to a target of the directory. */
+/** A change of a target in the directory. */
 export interface DirectoryChange {
-    /** "restarted": it has started again, and nothing that was known of it holds. "stale": an entry of an earlier start came. */
+    /**
+     * "lapsed": the entry was removed, but the target is kept for a grace period. "returned": the entry of a lapsed
+     * target was written again. "restarted": the target has a new incarnation, so what was known of it no longer
+     * applies. "stale": an entry of an earlier incarnation, or of a target that is draining or has left, was ignored.
+     */
     readonly kind: "added" | "changed" | "removed" | "lapsed" | "returned" | "restarted" | "stale";
     readonly target: Target;
-    /** Milliseconds for which a lapsed target stays in use unless its entry comes back. */
+    /** Milliseconds for which a lapsed target stays in use unless its entry is written again. */
     readonly keptFor?: number;
 }
 
@@ -19,44 +23,49 @@
 }
 
 /**
- * Milliseconds for which the newest start of a target that was seen outweighs entries of an earlier one. A write of the
- * earlier one may be carried out 6 s late; after that, an earlier time of start means that the target's clock was set back.
+ * Milliseconds after the newest incarnation of a target was last seen in which entries of earlier incarnations are
+ * ignored. A write of an earlier incarnation may be executed up to 6 s late; after that, an earlier start time means
+ * that the target's clock was set back.
  */
-const earlierStartDelay = 8_000;
+const staleEntryWindow = 8_000;
 
-/** Targets that left and are remembered, so that an old copy of the list does not bring them back: a day's, on a large site. */
-const mostDeparted = 2_000;
+/**
+ * Maximum number of departed incarnations to remember, so that a restored older list does not add them again. This
+ * covers one day on a large site.
+ */
+const maxDeparted = 2_000;
 
 /**
- * The targets that the platform lists. An entry that vanishes while the store is well means that its target has gone;
- * one that vanishes around an outage may only have expired, and gets time to come back.
+ * The targets in the platform's list. An entry that is removed while the store works means that its target has left. An
+ * entry that is removed around an outage of the store may only have expired, so its target is kept for a grace period.
  *
  * @public
  */
 export class TargetDirectory {
     private readonly targets = new Map<string, Target>();
-    private readonly changedTimes = new Map<string, number>();
-    /** When the newest start of each target was last seen, on the clock. */
+    private readonly entryChangedAt = new Map<string, number>();
+    /** When the newest incarnation of each target was last seen, on the clock. */
     private readonly startSeenAt = new Map<string, number>();
+    /** Timers that drop lapsed targets at the end of their grace period. */
     private readonly lapsed = new Map<string, Timer>();
-    /** Starts of targets that left. */
-    private readonly departed = new LRUCache<string, boolean>({ max: mostDeparted });
+    /** Incarnations of targets that have left. */
+    private readonly departed = new LRUCache<string, boolean>({ max: maxDeparted });
     private revisionCount = 0;
     private confirmedAt: Moment | undefined;
 
     constructor(private readonly options: TargetDirectoryOptions) {}
 
-    /** Grows with every change, so that what was derived from the directory can be kept until then. */
+    /** Increases with every change, so that results derived from the directory can be cached until the next change. */
     get revision(): number {
         return this.revisionCount;
     }
 
-    /** Milliseconds since the store's list was last known to be as known here; what has changed since is not known. */
+    /** Milliseconds since the latest moment at which the directory was confirmed to match the store's list. */
     get age(): number {
         return this.confirmedAt === undefined ? Infinity : Math.max(0, ageOf(this.confirmedAt, this.options.clock));
     }
 
-    /** Notes that the store's list was as known here at the given moment or later. */
+    /** Records that the directory matched the store's list at the given moment or later. */
     confirm(moment: Moment): void {
         this.confirmedAt = moment;
     }
@@ -65,25 +74,25 @@
         return this.targets.get(id);
     }
 
-    /** When the entry of a target last changed here, on the clock. */
+    /** When the entry of a target last changed in the directory, on the clock. */
     changedAt(id: string): number {
-        return this.changedTimes.get(id) ?? -Infinity;
+        return this.entryChangedAt.get(id) ?? -Infinity;
     }
 
-    /** All targets, those that are leaving as well. */
+    /** All targets, including those that are draining. */
     list(): Target[] {
         return [...this.targets.values()];
     }
 
-    /** Targets of a service that may get new work. */
+    /** The targets of a service that may get new requests. */
     readyTargets(service: string): Target[] {
         return this.list().filter(target => target.service === service && target.state === "ready");
     }
 
-    /** Takes the present entry of a target. */
+    /** Adds or updates a target from its current entry. */
     put(target: Target): void {
         const known = this.targets.get(target.id);
-        if (known !== undefined && this.isOfEarlierStart(target, known)) {
+        if (known !== undefined && this.isFromEarlierStart(target, known)) {
             this.options.onChange?.({ kind: "stale", target });
             return;
         }
@@ -98,23 +107,23 @@
     }
 
     /**
-     * Whether news of a target, which gives this time of its start, holds for its present entry: neither may be of an
-     * earlier start. News of a later one is taken.
+     * Whether a reply of a target applies to its current entry: neither may be of an earlier incarnation than the
+     * other. A reply of a later incarnation marks the target as restarted.
      *
-     * @param target - The entry that the target was asked by.
-     * @param startedAt - Undefined where it gave none, or did not answer.
+     * @param target - The entry with which the call to the target was made.
+     * @param startedAt - The start time in the reply; undefined if it contained none, or there was no reply.
      */
     confirmsStart(target: Target, startedAt: number | undefined): boolean {
         if (startedAt !== undefined) {
-            this.noteStart(target.id, startedAt);
+            this.recordRestart(target.id, startedAt);
         }
         const isCurrent = this.targets.get(target.id)?.startedAt === target.startedAt;
         return isCurrent
             && (startedAt === undefined || target.startedAt === undefined || startedAt === target.startedAt);
     }
 
-    /** A target has started again: its entry is of an earlier start until it changes. */
-    private noteStart(id: string, startedAt: number): void {
+    /** Records that a target has restarted, before its entry in the list shows it. */
+    private recordRestart(id: string, startedAt: number): void {
         const known = this.targets.get(id);
         if (known === undefined || known.startedAt === undefined || known.startedAt >= startedAt) {
             return;
@@ -125,22 +134,23 @@
         this.changed({ kind: "restarted", target });
     }
 
-    private isOfEarlierStart(target: Target, known: Target): boolean {
+    private isFromEarlierStart(target: Target, known: Target): boolean {
         if (target.startedAt === undefined || known.startedAt === undefined || target.startedAt >= known.startedAt) {
             return false;
         }
-        return this.options.clock.now() - (this.startSeenAt.get(target.id) ?? -Infinity) < earlierStartDelay;
+        return this.options.clock.now() - (this.startSeenAt.get(target.id) ?? -Infinity) < staleEntryWindow;
     }
 
     private set(target: Target): void {
         this.targets.set(target.id, target);
-        this.changedTimes.set(target.id, this.options.clock.now());
+        this.entryChangedAt.set(target.id, this.options.clock.now());
     }
 
     /**
-     * Takes the news that a target is no longer listed.
+     * Handles the removal of a target from the list.
      *
-     * @param graceEnd - Until when, on the clock, the entry of a live target may come back, because the store was away.
+     * @param graceEnd - Until when, on the clock, a live target may still write its entry again after an outage of the
+     * store.
      */
     remove(id: string, graceEnd: number): void {
         const target = this.targets.get(id);
@@ -158,15 +168,16 @@
     }
 
     /**
-     * Takes a whole list. Whatever it lacks counts as removed.
+     * Replaces the directory by a complete list. Targets that are missing from it are handled as removed.
      *
-     * @param isRestored - The list is a copy that may be older than what is known: it brings no target back that has left or is
-     * leaving. One that lives after all writes its entry again, and that is taken like any change.
+     * @param isRestored - The list comes from a restored copy of the store and may be older than the directory, so it
+     * does not add targets again that have left or are draining. If such a target still runs, it writes its entry
+     * again, which is applied as usual.
      */
     replaceAll(targets: readonly Target[], graceEnd: number, isRestored = false): void {
         const listed = new Set(targets.map(target => target.id));
         for (const target of targets) {
-            if (isRestored && this.isLeavingOrGone(target)) {
+            if (isRestored && this.isDrainingOrGone(target)) {
                 this.options.onChange?.({ kind: "stale", target });
             }
             else {
@@ -177,7 +188,7 @@
         missing.forEach(id => this.remove(id, graceEnd));
     }
 
-    private isLeavingOrGone(target: Target): boolean {
+    private isDrainingOrGone(target: Target): boolean {
         const known = this.targets.get(target.id);
         if (known === undefined) {
             return this.departed.has(incarnationOf(target));
@@ -193,7 +204,7 @@
         this.departed.set(incarnationOf(target), true);
         this.cancelLapse(target.id);
         this.targets.delete(target.id);
-        this.changedTimes.delete(target.id);
+        this.entryChangedAt.delete(target.id);
         this.startSeenAt.delete(target.id);
         this.changed({ kind: "removed", target });
     }
--- a/packages/gateway/src/lib/directory/TargetList.test.ts
+++ b/packages/gateway/src/lib/directory/TargetList.test.ts
@@ -23,27 +23,27 @@
 
 const row = (key: string, value: unknown, version = 1) => ({ key, value, version });
 
-test("entries that name no target leave the others, and each is logged once", () => {
+test("entries that describe no target do not affect the others, and each is logged once", () => {
     const { directory, warnings, list } = createList();
-    list.takeAll([row("a", {}), row("b", 7), row("c", "x")], -Infinity);
-    list.takeAll([row("a", {}), row("b", 7), row("c", "x")], -Infinity);
+    list.applySnapshot([row("a", {}), row("b", 7), row("c", "x")], -Infinity);
+    list.applySnapshot([row("a", {}), row("b", 7), row("c", "x")], -Infinity);
     assert.deepEqual(directory.list().map(({ id }) => id), ["a"]);
     assert.equal(warnings.length, 2);
 });
 
-test("an overwritten entry names its target no more, also around an outage", () => {
+test("an entry overwritten with an unusable one removes its target, even around an outage", () => {
     const { directory, list } = createList();
-    list.takeAll([row("a", {})], -Infinity);
-    list.takeChanges([{ key: "a", row: row("a", 7, 2) }], Infinity);
+    list.applySnapshot([row("a", {})], -Infinity);
+    list.applyChanges([{ key: "a", row: row("a", 7, 2) }], Infinity);
     assert.deepEqual(directory.list(), []);
-    list.takeChanges([{ key: "a", row: row("a", {}, 3) }], -Infinity);
+    list.applyChanges([{ key: "a", row: row("a", {}, 3) }], -Infinity);
     assert.equal(directory.list().length, 1);
 });
 
-test("an entry that goes wrong again is logged again", () => {
+test("an entry that becomes unusable again is logged again", () => {
     const { warnings, list } = createList();
     for (const value of [7, {}, 7]) {
-        list.takeChanges([{ key: "a", row: row("a", value) }], -Infinity);
+        list.applyChanges([{ key: "a", row: row("a", value) }], -Infinity);
     }
     assert.equal(warnings.length, 2);
 });
--- a/packages/gateway/src/lib/directory/TargetList.ts
+++ b/packages/gateway/src/lib/directory/TargetList.ts
@@ -3,38 +3,41 @@
 import { type Target } from "./Target.js";
 import { type TargetDirectory } from "./TargetDirectory.js";
 
-/** What an entry of the platform's list says. */
+/** The result of decoding an entry of the platform's list. */
 export type DecodedTarget =
     | { readonly kind: "target"; readonly target: Target; }
-    /** It names no target that could be used, for this reason. */
+    /** The entry describes no usable target. */
     | { readonly kind: "unusable"; readonly reason: string; };
 
 /** Options of {@link TargetList}. */
 export interface TargetListOptions {
     readonly directory: TargetDirectory;
-    /** Decodes an entry, whatever stands in it. */
+    /** Decodes an entry with any content, without throwing. */
     readonly decode: (id: string, document: unknown) => DecodedTarget;
     readonly logger: Logger;
 }
 
 /**
- * Brings the rows of the platform's list into the directory. An entry that names no target may be another writer's: it is
- * logged once, and the others hold.
+ * Applies the rows of the platform's list to the directory. An entry that describes no target may come from another
+ * writer: it is logged once, and the other entries are applied.
  */
 export class TargetList {
-    /** Rows that name no target, and why. */
+    /** For each key of a row that describes no target, the reason. */
     private readonly unusableRows = new Map<string, string>();
 
     constructor(private readonly options: TargetListOptions) {}
 
-    /** Takes the whole list; see {@link TargetDirectory.replaceAll}. */
-    takeAll(rows: readonly StoredRow[], graceEnd: number, isRestored = false): void {
+    /** Applies the complete list; see {@link TargetDirectory.replaceAll}. */
+    applySnapshot(rows: readonly StoredRow[], graceEnd: number, isRestored = false): void {
         const targets = rows.flatMap(row => this.decode(row) ?? []);
         this.options.directory.replaceAll(targets, graceEnd, isRestored);
     }
 
-    /** Takes what changed. An entry that was overwritten names its target no more, whatever the state of the store. */
-    takeChanges(changes: readonly RowChange[], graceEnd: number): void {
+    /**
+     * Applies changes of the list. A target whose entry was overwritten with an unusable one is removed without a grace
+     * period, even after an outage of the store.
+     */
+    applyChanges(changes: readonly RowChange[], graceEnd: number): void {
         const { directory } = this.options;
         for (const { key, row } of changes) {
             const target = row === undefined ? undefined : this.decode(row);
--- a/packages/gateway/src/lib/directory/createTargetWatch.ts
+++ b/packages/gateway/src/lib/directory/createTargetWatch.ts
@@ -16,23 +16,26 @@
     readonly directory: TargetDirectory;
     readonly decode: (id: string, document: unknown) => DecodedTarget;
     readonly logger: Logger;
-    /** Milliseconds without trouble after which this process must know of every leaving. */
+    /** Milliseconds without network faults within which this process must know of every target that leaves. */
     readonly contactTime: number;
-    /** Milliseconds after the store has taken a leaving in which requests may reach the target; undefined where nothing says so. */
+    /**
+     * Milliseconds after the store accepted that a target leaves within which requests may still reach it; undefined if
+     * the platform documents none.
+     */
     readonly drainTime?: number;
-    /** The directory is as the store's list was some moment ago. */
+    /** The directory was confirmed to match the store's list. */
     readonly onConfirmed?: () => void;
 }
 
-/** Milliseconds by which vanished entries are given up before the time in contact is over: timers fire late. Chosen. */
+/** Milliseconds before the end of the contact time at which removed entries are dropped: timers fire late. */
 const timerSlack = 50;
 
 /**
- * Follows the platform's list of targets and keeps a directory as the list says.
+ * Follows the platform's list of targets and keeps a directory in line with it.
  *
- * A connection that falls silent is noticed when the call on it is given up. That must be within the time in contact alone: a
- * target that left right after the silence may have had its draining time by then. With waits of 3.5 s requests were sent
- * to such targets up to 1.1 s after their draining time (leavingTargets.test.ts run with them).
+ * An unresponsive connection is detected when the call on it times out, which must happen within the contact time: by
+ * then, the drain time of a target that left just after the connection stopped working may be over. With waits of 3.5
+ * s, requests were sent to such targets up to 1.1 s after their drain time (leavingTargets.test.ts).
  */
 export function createTargetWatch(options: TargetWatchOptions): TableWatch {
     const { clock, store, table, directory, decode, logger, contactTime, drainTime } = options;
@@ -46,9 +49,9 @@
         reliance: relianceWithin(Math.min(contactTime, drainTime ?? 0)),
         role,
         eras,
-        returnBound: contactTime - timerSlack,
-        onSnapshot: (rows, graceEnd, isRestored) => list.takeAll(rows, graceEnd, isRestored),
-        onChanges: (changes, graceEnd) => list.takeChanges(changes, graceEnd),
+        rewriteBound: contactTime - timerSlack,
+        onSnapshot: (rows, graceEnd, isRestored) => list.applySnapshot(rows, graceEnd, isRestored),
+        onChanges: (changes, graceEnd) => list.applyChanges(changes, graceEnd),
         onConfirmed: after => {
             directory.confirm(after);
             options.onConfirmed?.();
--- a/packages/gateway/src/lib/store/EraStore.test.ts
+++ b/packages/gateway/src/lib/store/EraStore.test.ts
@@ -33,7 +33,7 @@
     return { eras, answers, store, write, rises: () => rises };
 }
 
-test("the first era that is told is no rise, and answers without one say nothing", async () => {
+test("the first reported era notifies no listener, and replies without an era change nothing", async () => {
     const { eras, answers, store, rises } = createStore();
     await store.read("t");
     answers.read = { kind: "unknown", reason: "timeout" };
@@ -42,7 +42,7 @@
     assert.equal(rises(), 0);
 });
 
-test("a refusal tells the era as well", async () => {
+test("the era of a refused call counts as well", async () => {
     const { answers, store, rises } = createStore();
     await store.read("t");
     answers.read = { kind: "unavailable", reason: "status 503", era: 2 };
@@ -60,7 +60,7 @@
     assert.equal((await store.read("t")).kind, "read");
 });
 
-test("changes after a version of an earlier era are no changes: the table must be read anew", async () => {
+test("changes after a version of an earlier era are rejected: the table must be read again", async () => {
     const { answers, store, rises } = createStore();
     await store.read("t");
     answers.watch = { kind: "changes", changes: [], version: 5, era: 2 };
@@ -68,7 +68,7 @@
     assert.equal(rises(), 1);
 });
 
-test("a write by a version of an earlier era may have replaced anything; a conflict has replaced nothing", async () => {
+test("a write with an expected version of an earlier era has an unknown result, unless it conflicts", async () => {
     const { answers, store, write } = createStore();
     await store.read("t");
     answers.write = { kind: "written", version: 6, era: 2 };
--- a/packages/gateway/src/lib/store/EraStore.ts
+++ b/packages/gateway/src/lib/store/EraStore.ts
@@ -18,20 +18,20 @@
 }
 
 /**
- * The store, with answers that do not fit its era turned into failures. Versions mean something within one era only: a
- * call that was made by a version of an earlier one is not to be believed, whatever it gave, and neither is an answer that was given
- * before the store came back and arrives after it.
+ * Wraps a store and turns replies that do not match its current era into failures. Versions are valid within one era
+ * only, so the result of a call that was sent with a version of an earlier era is not reliable, and neither is a reply
+ * from before a restore that arrives after it.
  */
 export class EraStore implements Store {
-    /** The newest version that any answer told, for the log. */
+    /** The newest version in any reply of the current era, for the log. */
     private version = 0;
 
     constructor(private readonly options: EraStoreOptions) {}
 
     async read(table: string): Promise<({ readonly kind: "read"; } & TableSnapshot) | StoreFailure> {
         const result = await this.options.store.read(table);
-        const isLate = this.note(result, "read" === result.kind ? result.version : undefined) === "older";
-        return isLate ? lateAnswer : result;
+        const isStale = this.observeEra(result, "read" === result.kind ? result.version : undefined) === "older";
+        return isStale ? staleAnswer : result;
     }
 
     async watch(
@@ -41,32 +41,33 @@
     ): Promise<({ readonly kind: "changes"; } & TableChanges) | StoreFailure> {
         const asked = this.options.eras.current;
         const result = await this.options.store.watch(table, after, wait);
-        const isLate = this.note(result, "changes" === result.kind ? result.version : undefined) === "older";
+        const isLate = this.observeEra(result, "changes" === result.kind ? result.version : undefined) === "older";
         if (isLate) {
-            return lateAnswer;
+            return staleAnswer;
         }
-        return this.isOfEra(asked, result) ? result : { kind: "historyGone" };
+        return this.isSameEra(asked, result) ? result : { kind: "historyGone" };
     }
 
     async write(write: ConditionalWrite): Promise<WriteResult> {
         const asked = this.options.eras.current;
         const result = await this.options.store.write(write);
-        const isLate = this.note(result, "written" === result.kind ? result.version : undefined) === "older";
+        const isLate = this.observeEra(result, "written" === result.kind ? result.version : undefined) === "older";
         if (isLate) {
-            return lateAnswer;
+            return staleAnswer;
         }
-        if (result.kind === "conflict" || this.isOfEra(asked, result)) {
+        if (result.kind === "conflict" || this.isSameEra(asked, result)) {
             return result;
         }
-        // The row that the condition named may be another one by now, so nobody can say what the write has replaced.
+        // The expected version may belong to a different row content in the new era, so it is unknown what the write
+        // has replaced.
         return { kind: "unknown", reason: "the store has come back from a copy" };
     }
 
-    private isOfEra(asked: number | undefined, { era }: StoreAnswer): boolean {
+    private isSameEra(asked: number | undefined, { era }: StoreAnswer): boolean {
         return asked === undefined || era === undefined || era === asked;
     }
 
-    private note({ era }: StoreAnswer, version: number | undefined): string {
+    private observeEra({ era }: StoreAnswer, version: number | undefined): string {
         const { eras, observation } = this.options;
         const before = eras.current;
         const relation = eras.note(era);
@@ -86,4 +87,4 @@
     }
 }
 
-const lateAnswer: StoreFailure = { kind: "unknown", reason: "answer of an earlier era" };
+const staleAnswer: StoreFailure = { kind: "unknown", reason: "answer of an earlier era" };
--- a/packages/gateway/src/lib/store/Store.ts
+++ b/packages/gateway/src/lib/store/Store.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway needs of the platform's table store. Row values are JSON documents.
+ * The interface through which the gateway uses the platform's table store. Row values are JSON documents.
  */
 
 /** One row. `version` comes from a counter that grows with every transaction of the store. */
@@ -9,11 +9,11 @@
     readonly version: number;
 }
 
-/** What every answer of the store may tell. */
+/** Fields that any reply of the store may have. */
 export interface StoreAnswer {
     /**
-     * Rises each time that the store has come back from an older copy of itself: what was written since the copy is gone, and its
-     * versions are given out again. Undefined where the store does not tell, or gave no answer.
+     * Increases each time the store is restored from an older copy of itself: writes made after the copy are lost, and
+     * their versions are assigned again. Undefined if the store does not report it, or did not reply.
      */
     readonly era?: number;
 }
@@ -25,16 +25,16 @@
     readonly version: number;
 }
 
-/** A row that was written or removed. One key may come several times, the newest last. */
+/** A row that was written or removed. A key may occur several times, with the newest change last. */
 export interface RowChange {
     readonly key: string;
     /** Undefined when the row was removed. */
     readonly row: StoredRow | undefined;
 }
 
-/** What has changed in a table after some version. */
+/** The changes of a table after a given version. */
 export interface TableChanges extends StoreAnswer {
-    /** In the order in which it happened. */
+    /** In the order in which they were made. */
     readonly changes: readonly RowChange[];
     readonly version: number;
 }
@@ -49,15 +49,15 @@
     readonly expectedVersion: number;
 }
 
-/** The result of a call that did not give what was asked for. */
+/** The result of a call that failed. */
 export type StoreFailure =
     & StoreAnswer
     & (
-        /** Nothing was done: the store refused, or was never reached. */
+        /** Nothing was executed: the store refused the call or was not reached. */
         | { readonly kind: "unavailable"; readonly reason: string; }
-        /** No reply: a write may have been done, or may still be done later. */
+        /** No reply: a write may have been executed, or may still be executed later. */
         | { readonly kind: "unknown"; readonly reason: string; }
-        /** The history that was asked for is gone; the table must be read anew. */
+        /** The store no longer keeps the requested changes; the whole table must be read. */
         | { readonly kind: "historyGone"; }
     );
 
@@ -67,7 +67,7 @@
     | ({ readonly kind: "conflict"; readonly rows: readonly StoredRow[]; } & StoreAnswer)
     | StoreFailure;
 
-/** Milliseconds beyond its wait after which a call that waits for changes is given up. @public */
+/** Milliseconds after the end of its wait at which a call for changes times out. @public */
 export const watchSlack = 700;
 
 /** The platform's table store. @public */
--- a/packages/gateway/src/lib/store/StoreContact.test.ts
+++ b/packages/gateway/src/lib/store/StoreContact.test.ts
@@ -11,7 +11,7 @@
     return new StoreContact({ metrics, logs: silentLogs() });
 }
 
-test("the store is reached until a call fails, and again once all tables are followed", () => {
+test("the store counts as reachable until a call fails, and again once calls for all tables succeed", () => {
     const contact = createContact();
     const first = contact.listenersFor("a");
     const second = contact.listenersFor("b");
--- a/packages/gateway/src/lib/store/StoreContact.ts
+++ b/packages/gateway/src/lib/store/StoreContact.ts
@@ -1,18 +1,18 @@
 import { type Observation } from "../observation/Observation.js";
 import { type TableWatchOptions } from "./TableWatch.js";
 
-/** Whether the store answers this process, by the calls of the watches that follow its tables. */
+/** Tracks whether this process can reach the store, from the results of the calls that follow its tables. */
 export class StoreContact {
     private readonly lostTables = new Set<string>();
 
     constructor(private readonly observation: Observation) {}
 
-    /** False from the first call that fails until every table is followed again: an answer about one says nothing of the others. */
+    /** False from the first failed call until calls for every table succeed again: tables can fail independently. */
     get isWhole(): boolean {
         return this.lostTables.size === 0;
     }
 
-    /** What the watch of a table tells of its calls. */
+    /** Listeners for the watch of a table, which record and log losses, recoveries and stale data. */
     listenersFor(table: string): Required<Pick<TableWatchOptions, "onLost" | "onRegained" | "onDoubt" | "onRestored">> {
         const { metrics, logs } = this.observation;
         return {
--- a/packages/gateway/src/lib/store/StoreEras.ts
+++ b/packages/gateway/src/lib/store/StoreEras.ts
@@ -1,23 +1,30 @@
-/** How an era that is told stands to the newest one that is known. */
+/** How a reported era compares with the newest one known. */
 export type EraRelation = "same" | "newer" | "older";
 
-/** The newest era of the store that this process knows, from the store's answers and the words of peers. */
+/**
+ * Tracks the newest era of the store, as reported by its replies and by peers. The era increases each time the store is
+ * restored from an older copy.
+ */
 export class StoreEras {
     private newest: number | undefined;
     private readonly listeners = new Set<() => void>();
 
-    /** Undefined before the store has told any. */
+    /** Undefined until an era has been reported. */
     get current(): number | undefined {
         return this.newest;
     }
 
-    /** Calls back when an era follows another one that was known here. @returns Ends that. */
+    /**
+     * Calls the listener whenever a newer era replaces a known one.
+     *
+     * @returns Removes the listener.
+     */
     onRise(listener: () => void): () => void {
         this.listeners.add(listener);
         return () => void this.listeners.delete(listener);
     }
 
-    /** Takes an era that is told; an answer without one says nothing. */
+    /** Records a reported era. A reply without an era counts as "same". */
     note(era: number | undefined): EraRelation {
         if (era === undefined || era === this.newest) {
             return "same";
--- a/packages/gateway/src/lib/store/TableWatch.test.ts
+++ b/packages/gateway/src/lib/store/TableWatch.test.ts
@@ -9,7 +9,7 @@
     | ({ readonly kind: "changes"; } & TableChanges)
     | StoreFailure;
 
-/** A store that answers by a script, and never after its end. */
+/** A store that gives scripted replies, and none after the last one. */
 class ScriptedStore implements Store {
     readonly calls: string[] = [];
     readonly waits: number[] = [];
@@ -82,7 +82,7 @@
     assert.deepEqual(seen, ["all ", "a=1", "a=undefined", "a=3"]);
 });
 
-test("history gone: reads anew at once", async () => {
+test("history gone: reads the table again immediately", async () => {
     const { clock, store } = watchTable([
         { kind: "read", rows: [], version: 1 },
         { kind: "historyGone" },
@@ -92,13 +92,13 @@
     assert.deepEqual(store.calls, ["read t", "watch 1", "read t", "watch 9"]);
 });
 
-test("after an outage vanished rows get until the return time to come back", async () => {
+test("after an outage removed rows may be written again until the rewrite time has passed", async () => {
     const graceEnds: number[] = [];
     const { clock } = watchTable([
         { kind: "read", rows: [], version: 1 },
         { kind: "unavailable", reason: "503" },
         { kind: "changes", changes: [change("a", 1, 2)], version: 2 },
-    ], { onChanges: (_changes, graceEnd) => graceEnds.push(graceEnd), retryDelay: 100, returnTime: 2_200 });
+    ], { onChanges: (_changes, graceEnd) => graceEnds.push(graceEnd), retryDelay: 100, rewriteTime: 2_200 });
     await clock.advanceAsync(300);
     const [graceEnd = 0] = graceEnds;
     assert.ok(graceEnd > 2_200 && graceEnd <= clock.now() + 2_200);
@@ -115,7 +115,7 @@
     assert.ok((confirmed[1] ?? 0) < 100);
 });
 
-test("an answer that nothing changed confirms the table to the end of the wait", async () => {
+test("a reply without changes confirms the table up to the end of the wait", async () => {
     const confirmed: number[] = [];
     const { clock } = watchTable([
         { kind: "read", rows: [], version: 1 },
@@ -126,18 +126,18 @@
     assert.deepEqual(confirmed.map(moment => Math.floor(moment / 100) * 100), [0, 2_000, 2_000]);
 });
 
-test("changes in close succession are gathered", async () => {
+test("changes in quick succession are batched", async () => {
     const changes = [2, 3, 4, 5, 6, 7, 8].map(version => ({
         kind: "changes" as const,
         changes: [change("a", version, version)],
         version,
     }));
-    const { clock, store } = watchTable([{ kind: "read", rows: [], version: 1 }, ...changes], { gatherTime: 250 });
+    const { clock, store } = watchTable([{ kind: "read", rows: [], version: 1 }, ...changes], { batchDelay: 250 });
     await clock.advanceAsync(240);
     assert.ok(store.calls.length <= 5, `${store.calls.length} calls`);
 });
 
-test("while the store is lost calls do not wait for changes, so that its return is seen at once", async () => {
+test("calls do not wait for changes during an outage, so that its end is noticed immediately", async () => {
     const { clock, store } = watchTable([
         { kind: "read", rows: [], version: 1 },
         { after: 2_700, reply: { kind: "unknown", reason: "timeout" } },
@@ -148,7 +148,7 @@
     assert.deepEqual(store.waits, [2_000, 0, 0, 2_000]);
 });
 
-test("a loss tells how long the call was under way, a return how old the last failed call is", async () => {
+test("a loss reports how long the call took, a recovery reports the age of the last failed call", async () => {
     const losses: number[] = [];
     const returns: number[] = [];
     const { clock } = watchTable([
@@ -167,7 +167,7 @@
     assert.ok(sinceFailure >= 700 && sinceFailure < 750, `${sinceFailure}`);
 });
 
-test("a call that hung is made again at once, one that was refused after the delay", async () => {
+test("a call that timed out is retried immediately, one that was refused after the retry delay", async () => {
     const { clock, store } = watchTable([
         { kind: "read", rows: [], version: 1 },
         { after: 2_700, reply: { kind: "unknown", reason: "timeout" } },
@@ -181,7 +181,7 @@
     assert.equal(store.calls.length, 4);
 });
 
-test("waiting calls that fail at once beside others that succeed do not make a busy loop", async () => {
+test("calls that alternately succeed and fail immediately do not cause a busy loop", async () => {
     const { clock, store } = watchTable(
         Array.from({ length: 2_000 }, (_, i) =>
             i % 2 === 0
@@ -193,7 +193,7 @@
     assert.ok(store.calls.length <= 22, `${store.calls.length} calls`);
 });
 
-test("a process that was cut off drops a target that left within three seconds of its return", async () => {
+test("after its connection is restored, a process drops a target that left within three seconds", async () => {
     const graceEnds: number[] = [];
     const { clock } = watchTable([
         { kind: "read", rows: [], version: 1 },
@@ -202,7 +202,7 @@
         { kind: "changes", changes: [{ key: "a", row: undefined }], version: 2 },
     ], { onChanges: (_changes, graceEnd) => graceEnds.push(graceEnd) });
     await clock.advanceAsync(2_000);
-    // It returned at the earliest when the call that failed last was sent.
+    // The connection was restored no earlier than when the last failed call was sent.
     const returnedAt = 200;
     const [graceEnd = Infinity] = graceEnds;
     assert.ok(graceEnd - returnedAt < 3_000, `${graceEnd}`);
--- a/packages/gateway/src/lib/store/TableWatch.ts
+++ b/packages/gateway/src/lib/store/TableWatch.ts
@@ -4,19 +4,22 @@
 import { type StoreEras } from "./StoreEras.js";
 import { type Reliance } from "./watchWait.js";
 
-/** What a gateway knows of a table. */
+/** The state of a table as one gateway knows it. Gateways send it to each other in heartbeats. */
 export interface TableWord {
-    /** The version of the store at which the table last changed. */
+    /** The store version at which the table last changed. */
     readonly version: number;
-    /** The version of the store up to which this is known. */
+    /** The store version up to which the sender has seen all changes. */
     readonly seen: number;
-    /** Milliseconds since the table was surely as known. */
+    /** Milliseconds since the latest moment at which the table was confirmed to be in this state. */
     readonly age: number;
-    /** The era of the store that the versions belong to; undefined where it tells none. */
+    /** The store era that the versions belong to; undefined if the store reports none. */
     readonly era?: number;
 }
 
-/** Whether a process follows the store for itself, also for others that rely on it, or relies on others. */
+/**
+ * How a process follows the store: "alone" polls for itself only, "leader" polls for its followers as well, and
+ * "follower" uses what its peers report instead of polling.
+ */
 export type WatchRole = "alone" | "leader" | "follower";
 
 /** Options of {@link TableWatch}. */
@@ -24,42 +27,49 @@
     readonly clock: Clock;
     readonly store: Store;
     readonly table: string;
-    /** Milliseconds that one call waits for changes. */
+    /** Milliseconds that one long-poll call waits for changes. */
     readonly wait: number;
     /**
-     * Takes a whole table. What it lacks is gone, or may come back until `graceEnd` on the clock. A restored one comes from a copy that
-     * the store went back to: what it holds may be older than what is known.
+     * Receives all rows of the table. Rows that are missing were removed; before `graceEnd` on the clock they may still
+     * be written again. `isRestored` means that the store was restored from an older copy, so the rows may be older
+     * than those known here.
      */
     readonly onSnapshot: (rows: readonly StoredRow[], graceEnd: number, isRestored: boolean) => void;
-    /** Takes what changed, in the order in which it happened. */
+    /** Receives changes in the order in which they were made. */
     readonly onChanges: (changes: readonly RowChange[], graceEnd: number) => void;
-    /** The table was as told at some time after a moment, which is later than the one told before. */
+    /** The state of the table was confirmed at some time after the given moment, which increases between calls. */
     readonly onConfirmed?: (after: Moment) => void;
-    /** The eras of the store; undefined where it has none. */
+    /** Tracks the store's eras; undefined if the store has none. */
     readonly eras?: StoreEras;
-    /** The table is known again after the store came back from a copy, so many milliseconds after that was noticed. */
+    /** The table was read again, `doubt` milliseconds after a restore of the store from a copy was detected. */
     readonly onRestored?: (doubt: number) => void;
-    /** How to rely on peers; undefined where this process follows the table by itself. */
+    /** Limits for sharing the watch with peers; undefined if this process always polls the store itself. */
     readonly reliance?: Reliance;
-    /** What this process is for others just now. */
+    /** The current role of this process. */
     readonly role?: () => WatchRole;
-    /** A call failed, the first one for a while; it had been under way for `waited` milliseconds. */
+    /** A call failed after `waited` milliseconds, and the one before it had succeeded. */
     readonly onLost?: (reason: string, waited: number) => void;
-    /** The store answers again, so many milliseconds after it was lost and after the last call that failed was sent. */
+    /**
+     * The store answers again, `outage` milliseconds after the first failure was noticed and `sinceFailure`
+     * milliseconds after the last failed call was sent.
+     */
     readonly onRegained?: (outage: number, sinceFailure: number) => void;
-    /** What peers said is so many milliseconds old, too old to rely on: this process asks the store itself. */
+    /** Peers' confirmations are too old, the last one `age` milliseconds: this process polls the store itself. */
     readonly onDoubt?: (age: number) => void;
-    /** Milliseconds from the sending of a call that failed to the next one, at least. Every call is priced, refused ones too. */
+    /** Minimum milliseconds from sending a failed call to sending the next one. Refused calls are billed too. */
     readonly retryDelay?: number;
-    /** Milliseconds after an outage in which rows that expired meanwhile are written again: the platform says about two seconds. */
-    readonly returnTime?: number;
     /**
-     * Milliseconds after the sending of the last call that failed at which the wait for such rows ends in any case. The
-     * outage can have ended right after that sending, however late it was noticed.
+     * Milliseconds after an outage or a restore within which writers write lost rows again. The platform documents
+     * about two seconds for rows that expired during an outage.
+     */
+    readonly rewriteTime?: number;
+    /**
+     * Upper bound for that wait, in milliseconds after the last failed call was sent: the outage may have ended right
+     * after the call was sent, however late its end was noticed.
      */
-    readonly returnBound?: number;
-    /** Milliseconds for which changes gather when they come in close succession, as at the start of a site. */
-    readonly gatherTime?: number;
+    readonly rewriteBound?: number;
+    /** Milliseconds for which changes in quick succession are collected, for example when a site starts. */
+    readonly batchDelay?: number;
 }
 
 type OptionalName =
@@ -72,58 +82,60 @@
     | "role"
     | "eras";
 
-const defaults = { retryDelay: 200, returnTime: 2_050, returnBound: 2_950, gatherTime: 250 };
-/** Milliseconds after its time at which a timer has surely come. */
+const defaults = { retryDelay: 200, rewriteTime: 2_050, rewriteBound: 2_950, batchDelay: 250 };
+/** Milliseconds by which a timer may fire early or late. */
 const timerSlack = 5;
-/** Calls in a row that brought changes after which further changes are gathered: each call is priced. */
-const gatherAfter = 3;
+/**
+ * Consecutive calls with changes after which further changes are collected into batches, because each call is billed.
+ */
+const batchThreshold = 3;
 
 /**
- * Follows one table of the store: a whole read first, then a chain of calls that each wait for changes. After any doubt
- * about the history it reads the table anew.
+ * Follows one table of the store: reads it completely once, then makes consecutive long-poll calls for changes. It
+ * reads the table again whenever the history of changes may be incomplete.
  *
- * A follower makes no calls while peers confirm that the table is as it knows it. It asks the store for what has changed when a
- * peer's word names a newer version, and follows the table by itself again when such words get too old.
+ * A follower makes no calls while peers confirm the state that it knows. It polls the store when a peer reports a newer
+ * version, or when the last confirmation by a peer is too old.
  */
 export class TableWatch {
     private readonly options:
         & Required<Omit<TableWatchOptions, OptionalName>>
         & TableWatchOptions;
     private version: number | undefined;
-    /** The version at which the table last changed, as far as this process knows. */
+    /** The store version of the last change to the table that this process knows of. */
     private changedAt = 0;
     private confirmedAt: Moment | undefined;
-    /** The latest moment at which a peer's word confirmed what is known here. */
+    /** The latest moment to which a peer confirmed the state known here. */
     private peerConfirmedAt: Moment | undefined;
-    /** A peer knows of a change that has not been seen here. */
+    /** Whether a peer reported a change that this process has not read yet. */
     private isBehind = false;
-    /** What peers said got too old, so the next call must not wait for changes: its connection may be silent. */
-    private isDoubtful = false;
+    /** Whether peers' confirmations are too old. The next call then does not wait: its connection may be dead. */
+    private isPeerStateStale = false;
     private wakeUp: () => void = () => undefined;
     private lostAt: number | undefined;
     private regainedAt = -Infinity;
-    /** When the last call that failed was sent. */
-    private failedCallAt = -Infinity;
+    /** When the last failed call was sent. */
+    private lastFailedCallAt = -Infinity;
     private stopped = false;
-    private changesInARow = 0;
-    /** When the store was noticed to have come back from a copy, until the table has been read since. */
+    private consecutiveChanges = 0;
+    /** When a restore of the store from a copy was detected; undefined once the table has been read since. */
     private restoredAt: number | undefined;
-    /** Until when, on the clock, writes that the copy lacks may still be missing: nothing is confirmed before that. */
-    private incompleteUntil = -Infinity;
-    /** Reads the table once more. */
-    private completion: Timer | undefined;
-    private abandonCall: () => void = () => undefined;
+    /** Until when, on the clock, a restored copy may still lack writes. Nothing is confirmed before that. */
+    private recoveryEnd = -Infinity;
+    /** Reads the table a second time once {@link recoveryEnd} has passed. */
+    private rereadTimer: Timer | undefined;
+    private cancelWait: () => void = () => undefined;
     private readonly stopListening: () => void;
 
     constructor(options: TableWatchOptions) {
         this.options = { ...defaults, ...options };
-        this.stopListening = options.eras?.onRise(() => this.startAnew()) ?? (() => undefined);
+        this.stopListening = options.eras?.onRise(() => this.handleNewEra()) ?? (() => undefined);
     }
 
     /** Follows the table until {@link TableWatch.stop}. */
     async run(): Promise<void> {
         while (!this.stopped) {
-            await this.rely();
+            await this.followPeers();
             const asked = currentMoment(this.options.clock);
             const wait = this.nextWait;
             const result = this.version === undefined
@@ -136,54 +148,55 @@
                 this.confirm(asked);
             }
             else if (result === "unchanged") {
-                const held = this.timeHeld(asked, wait);
+                const held = this.minimumHoldTime(asked, wait);
                 this.confirm({ now: asked.now + held, date: asked.date + held });
             }
             else {
-                await this.afterFailure(result, asked.now);
+                await this.handleFailure(result, asked.now);
             }
         }
     }
 
     /**
-     * For how long the store surely held a call in which nothing changed: at the end of that time the table was still as
-     * known. An answer before the end of the wait may have been given at any time.
+     * The minimum time for which the store held a call without changes: at its end the table was still unchanged. A
+     * reply that came before the end of the wait may have been produced at any time, so it counts as 0.
      */
-    private timeHeld(asked: Moment, wait: number): number {
+    private minimumHoldTime(asked: Moment, wait: number): number {
         const elapsed = this.options.clock.now() - asked.now;
         return elapsed < wait - timerSlack ? 0 : Math.min(wait, elapsed);
     }
 
-    /** Follows the table no longer. */
+    /** Stops following the table. */
     stop(): void {
         this.stopped = true;
         this.stopListening();
-        this.completion?.cancel();
+        this.rereadTimer?.cancel();
         this.wakeUp();
     }
 
     /**
-     * The store came back from a copy, so no version that is known here means anything. The table is read anew at once, and once more
-     * when the others have written again what the copy lacks; until then it confirms nothing.
+     * Handles a restore of the store from a copy, which invalidates all versions known here. Reads the table
+     * immediately, and a second time when writers have had the time to write again what the copy lacks. Until then
+     * nothing is confirmed.
      */
-    private startAnew(): void {
+    private handleNewEra(): void {
         const now = this.options.clock.now();
         if (this.version !== undefined) {
             this.restoredAt ??= now;
         }
-        this.incompleteUntil = now + this.options.returnTime;
-        this.readAnew();
-        this.completion?.cancel();
-        this.completion = this.options.clock.schedule(() => this.readAnew(), this.options.returnTime + timerSlack);
+        this.recoveryEnd = now + this.options.rewriteTime;
+        this.forceReread();
+        this.rereadTimer?.cancel();
+        this.rereadTimer = this.options.clock.schedule(() => this.forceReread(), this.options.rewriteTime + timerSlack);
     }
 
-    private readAnew(): void {
+    private forceReread(): void {
         this.version = undefined;
-        this.abandonCall();
+        this.cancelWait();
         this.wakeUp();
     }
 
-    /** What this process can tell its peers of the table; undefined before it knows it. */
+    /** The state of the table to report to peers; undefined before the table has been read. */
     get word(): TableWord | undefined {
         const { version, changedAt, confirmedAt } = this;
         return confirmedAt === undefined || version === undefined
@@ -196,7 +209,11 @@
             };
     }
 
-    /** Takes a peer's word, which it gave at some time after a moment. */
+    /**
+     * Applies the state of the table that a peer reported.
+     *
+     * @param after - A moment before the peer sent its report.
+     */
     hear({ version, seen, age, era }: TableWord, after: Moment): void {
         const isOfOtherEra = era !== undefined && this.options.eras?.note(era) === "older";
         if (this.version === undefined || isOfOtherEra) {
@@ -207,7 +224,8 @@
             this.wakeUp();
             return;
         }
-        // Nothing has changed in between. Without this the store would have forgotten what came after the version known here.
+        // The table has not changed up to `seen`. Without this step the version known here would in time be older than
+        // the history of changes that the store keeps.
         this.version = Math.max(this.version, seen);
         const moment = { now: after.now - age, date: after.date - age };
         this.peerConfirmedAt = latest(this.peerConfirmedAt, moment);
@@ -215,7 +233,7 @@
     }
 
     private confirm(moment: Moment): void {
-        if (moment.now < this.incompleteUntil) {
+        if (moment.now < this.recoveryEnd) {
             return;
         }
         const newest = latest(this.confirmedAt, moment);
@@ -225,20 +243,20 @@
         }
     }
 
-    /** Waits while peers confirm what is known here, so that no call is needed. */
-    private async rely(): Promise<void> {
-        let hasRelied = false;
-        while (this.mayRely) {
-            hasRelied = true;
+    /** Waits while peers confirm the state known here, so that no call to the store is needed. */
+    private async followPeers(): Promise<void> {
+        let hasFollowed = false;
+        while (this.mayFollowPeers) {
+            hasFollowed = true;
             await this.pause((this.options.reliance?.bound ?? 0) - this.peerAge);
         }
-        if (hasRelied && !this.isBehind && !this.stopped) {
-            this.isDoubtful = true;
+        if (hasFollowed && !this.isBehind && !this.stopped) {
+            this.isPeerStateStale = true;
             this.options.onDoubt?.(this.peerAge);
         }
     }
 
-    /** Waits for some milliseconds, or until a peer's word wakes this process up. */
+    /** Waits for a time in milliseconds, or until {@link wakeUp} is called. */
     private pause(duration: number): Promise<void> {
         return new Promise(resolve => {
             const timer = this.options.clock.schedule(resolve, duration + timerSlack);
@@ -249,11 +267,11 @@
         });
     }
 
-    private get mayRely(): boolean {
+    private get mayFollowPeers(): boolean {
         const { reliance, role } = this.options;
         const isFollower = reliance !== undefined && role?.() === "follower";
-        const isSure = this.version !== undefined && this.lostAt === undefined && !this.isBehind;
-        return isFollower && isSure && !this.stopped && this.peerAge < reliance.bound;
+        const isUpToDate = this.version !== undefined && this.lostAt === undefined && !this.isBehind;
+        return isFollower && isUpToDate && !this.stopped && this.peerAge < reliance.bound;
     }
 
     private get peerAge(): number {
@@ -265,13 +283,13 @@
         if (result.kind !== "read") {
             return result;
         }
-        this.regained();
+        this.markRegained();
         this.version = result.version;
         this.changedAt = result.version;
         this.isBehind = false;
         const { restoredAt } = this;
         this.restoredAt = undefined;
-        this.options.onSnapshot(result.rows, this.graceEnd(), this.options.clock.now() < this.incompleteUntil);
+        this.options.onSnapshot(result.rows, this.graceEnd(), this.options.clock.now() < this.recoveryEnd);
         if (restoredAt !== undefined) {
             this.options.onRestored?.(this.options.clock.now() - restoredAt);
         }
@@ -279,57 +297,58 @@
     }
 
     private async waitForChanges(after: number, wait: number): Promise<"changed" | "unchanged" | StoreFailure> {
-        const result = await this.watchUntilAbandoned(after, wait);
+        const result = await this.watchUntilCancelled(after, wait);
         if (result.kind !== "changes") {
             return result;
         }
-        this.regained();
+        this.markRegained();
         this.version = result.version;
         this.isBehind = false;
-        this.isDoubtful = false;
+        this.isPeerStateStale = false;
         if (result.changes.length === 0) {
-            this.changesInARow = 0;
+            this.consecutiveChanges = 0;
             return "unchanged";
         }
         this.changedAt = Math.max(this.changedAt, ...result.changes.map(({ row }) => row?.version ?? result.version));
         this.options.onChanges(result.changes, this.graceEnd());
-        this.changesInARow++;
-        if (this.changesInARow >= gatherAfter) {
-            await sleep(this.options.clock, this.options.gatherTime);
+        this.consecutiveChanges++;
+        if (this.consecutiveChanges >= batchThreshold) {
+            await sleep(this.options.clock, this.options.batchDelay);
         }
         return "changed";
     }
 
-    /** A call by a version that means nothing any more is not waited for. */
-    private watchUntilAbandoned(after: number, wait: number): ReturnType<Store["watch"]> {
+    /** Waits for changes until {@link cancelWait} is called, because `after` is no longer a valid version. */
+    private watchUntilCancelled(after: number, wait: number): ReturnType<Store["watch"]> {
         return new Promise(resolve => {
-            this.abandonCall = () => resolve({ kind: "historyGone" });
+            this.cancelWait = () => resolve({ kind: "historyGone" });
             void this.options.store.watch(this.options.table, after, wait).then(resolve);
         });
     }
 
     /**
-     * A call that is held up by an outage must not hide its end: a process that was cut off learned 1.4 s after its return,
-     * from a call that had still been waiting, that a target had left, and sent it a request 2.09 s after the leaving.
+     * The wait of the next call. It is 0 during an outage, because a call that hangs would hide the end of the outage:
+     * otherwise a process whose connection was restored read only 1.4 s later that a target had left, and sent it a
+     * request 2.09 s after it left.
      */
     private get nextWait(): number {
         const { wait, reliance, role } = this.options;
-        if (this.lostAt !== undefined || this.isBehind || this.isDoubtful) {
+        if (this.lostAt !== undefined || this.isBehind || this.isPeerStateStale) {
             return 0;
         }
         return role?.() === "leader" ? Math.min(wait, reliance?.wait ?? wait) : wait;
     }
 
     /**
-     * A call that was given up after a while is made again at once: its connection alone may be at fault, and a process that
-     * waits here as well goes on for so much longer with what it knew. One that was refused or reset is made again later.
+     * Immediately retries a call that timed out: only its connection may have failed, and any further delay lengthens
+     * the time for which stale data is used. A call that was refused or reset quickly is retried after the retry delay.
      */
-    private async afterFailure(failure: StoreFailure, asked: number): Promise<void> {
+    private async handleFailure(failure: StoreFailure, asked: number): Promise<void> {
         if (failure.kind === "historyGone") {
             this.version = undefined;
             return;
         }
-        this.failedCallAt = asked;
+        this.lastFailedCallAt = asked;
         if (this.lostAt === undefined) {
             this.lostAt = this.options.clock.now();
             this.options.onLost?.(failure.reason, this.lostAt - asked);
@@ -338,25 +357,26 @@
         await sleep(this.options.clock, Math.max(0, this.options.retryDelay - elapsed));
     }
 
-    private regained(): void {
+    private markRegained(): void {
         if (this.lostAt !== undefined) {
             this.regainedAt = this.options.clock.now();
-            this.options.onRegained?.(this.regainedAt - this.lostAt, this.regainedAt - this.failedCallAt);
+            this.options.onRegained?.(this.regainedAt - this.lostAt, this.regainedAt - this.lastFailedCallAt);
             this.lostAt = undefined;
         }
     }
 
     /**
-     * Until when vanished rows may come back. The return of the store counts from when it was noticed, since the rows are
-     * back only some time after it. But a call that hung for long notices it late: without the bound a target that had
-     * left got requests up to 1.2 s after its draining time (leavingTargets.test.ts run without it).
+     * Until when removed rows may still be written again. The time counts from when the end of the outage was noticed,
+     * since rows are rewritten only after that end. A call that hangs notices it late, so the time is also bounded from
+     * when the last failed call was sent: without that bound targets got requests up to 1.2 s after their drain time
+     * (leavingTargets.test.ts).
      */
     private graceEnd(): number {
-        const { returnTime, returnBound } = this.options;
-        if (this.options.clock.now() < this.incompleteUntil) {
-            return this.incompleteUntil;
+        const { rewriteTime, rewriteBound } = this.options;
+        if (this.options.clock.now() < this.recoveryEnd) {
+            return this.recoveryEnd;
         }
-        return Math.min(this.regainedAt + returnTime, this.failedCallAt + returnBound);
+        return Math.min(this.regainedAt + rewriteTime, this.lastFailedCallAt + rewriteBound);
     }
 }
 
--- a/packages/gateway/src/lib/store/restoredStore.test.ts
+++ b/packages/gateway/src/lib/store/restoredStore.test.ts
@@ -4,26 +4,26 @@
 import { type RestoringGateway, RestoringSite } from "../testing/RestoringSite.js";
 
 /**
- * The store comes back from copies of itself, in series, while everything else goes on: what it had acknowledged since a copy is gone
- * until its writers write it again, and versions are given out twice.
+ * The store is repeatedly restored from older copies of itself while the gateways keep running. Writes acknowledged
+ * after a copy are lost until their writers repeat them, and versions are assigned twice.
  */
 
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8];
-/** Milliseconds after its taking away in which a key may work. */
+/** Milliseconds after its revocation within which a key may still be accepted. */
 const keyRevocation = 5_000;
-/** Milliseconds after the last trouble in which all gateways must know everything. */
+/** Milliseconds after the last disturbance within which all gateways must be up to date. */
 const settleTime = 8_000;
 
 const route = { isPublic: false } as Parameters<RestoringGateway["configuration"]["judgeCredential"]>[0];
 
-/** The oldest version whose key may still work. */
+/** The oldest configuration version whose key may still be accepted. */
 function oldestKey({ acknowledged, group }: RestoringSite): number {
     const bound = group.clock.now() - keyRevocation;
     return acknowledged.findLast(({ at }) => at <= bound)?.version ?? 0;
 }
 
-/** Lets things happen for 30 s, and then nothing for as long as it takes to settle. */
-async function play(site: RestoringSite, check: () => void): Promise<void> {
+/** Disturbs the site for 30 s, then lets it settle without further disturbance. */
+async function runWithDisturbances(site: RestoringSite, check: () => void): Promise<void> {
     await site.group.runAsync(4_000, check);
     for (let time = 0; time < 30_000; time += 600) {
         site.disturb();
@@ -33,11 +33,11 @@
 }
 
 for (const seed of seeds) {
-    test(`seed ${seed}: nothing goes back, keys stay taken away, and all is known in the end`, async () => {
+    test(`seed ${seed}: no state goes back, keys stay revoked, and all gateways are up to date in the end`, async () => {
         const site = new RestoringSite({ seed });
         const versions = new Map<RestoringGateway, number>();
         const terms = new Map<RestoringGateway, number>();
-        await play(site, () => {
+        await runWithDisturbances(site, () => {
             const oldest = oldestKey(site);
             for (const gateway of site.gateways) {
                 const { configuration, directory, lease, gone } = gateway;
@@ -45,7 +45,7 @@
                 assert.ok(version >= (versions.get(gateway) ?? 0), `configuration ${version}`);
                 versions.set(gateway, version);
                 const accepted = configuration.judgeCredential(route, `key-${version}`).kind === "accepted";
-                assert.ok(!accepted || version >= oldest, `key of ${version}, which ${oldest} took away`);
+                assert.ok(!accepted || version >= oldest, `key of version ${version} accepted, revoked by ${oldest}`);
                 const back = directory.readyTargets("s").filter(target => gone.has(incarnationOf(target)));
                 assert.deepEqual(back.filter(({ id, startedAt }) => site.living.get(id)?.startedAt !== startedAt), []);
                 const term = lease.isHeld ? lease.term ?? 0 : 0;
@@ -75,7 +75,7 @@
     });
 });
 
-test("20 gateways: calls in the ten seconds after the store came back stay below twice those of a start", async () => {
+test("20 gateways: calls in the ten seconds after a restore stay below twice the calls of a start", async () => {
     const site = new RestoringSite({ seed: 1, dataCentres: 4, gatewaysEach: 5 });
     await site.group.runAsync(10_000);
     const start = site.calls;
@@ -87,7 +87,7 @@
     assert.ok(after < 2 * start, `${after} calls, ${start} at the start`);
 });
 
-/** Gateways that know the newest configuration, of those that live. */
+/** The numbers of running gateways that know the newest configuration, and of all running ones. */
 function upToDate({ gateways, newestVersion }: RestoringSite): readonly [number, number] {
     const living = gateways.filter(({ group }) => !group.isDown);
     return [
@@ -96,7 +96,7 @@
     ];
 }
 
-test("all relays lost as the store comes back: the others learn of the copy and of what follows it", async () => {
+test("all relays lost as the store is restored: the others detect the restore and follow the changes after it", async () => {
     const site = new RestoringSite({ seed: 2, dataCentres: 4, gatewaysEach: 5 });
     await site.group.runAsync(6_000);
     site.changeConfiguration();
@@ -112,7 +112,7 @@
     assert.equal(known, living);
 });
 
-test("a relay that is cut off stays in the old era: who hears it as well follows the new one", async () => {
+test("a relay that is cut off stays in the old era: gateways that receive its reports follow the new era", async () => {
     const site = new RestoringSite({ seed: 3, dataCentres: 2, gatewaysEach: 6 });
     await site.group.runAsync(6_000);
     const relay = site.gateways.find(({ group }) => group.exchange.isRelay);
--- a/packages/gateway/src/lib/store/sharedWatches.test.ts
+++ b/packages/gateway/src/lib/store/sharedWatches.test.ts
@@ -8,28 +8,28 @@
 import { TableWatch, type WatchRole } from "./TableWatch.js";
 import { relianceWithin, watchWait } from "./watchWait.js";
 
-/** Milliseconds in which what the store has taken must be known: the least promise under which gateways rely on each other. */
-const promise = 3_000;
+/** Milliseconds within which gateways must know of a change: the smallest value at which they share watches. */
+const maxStaleness = 3_000;
 const contactTime = 4_000;
 
-/** The store as one gateway reaches it. */
-interface Path {
+/** The calls of one gateway to the store. */
+interface StorePath {
     calls: number;
-    /** The version after which it last asked for changes. */
+    /** The version after which the gateway last requested changes. */
     after: number;
-    isTurnedAway: boolean;
+    isRefused: boolean;
 }
 
 interface Follower {
     readonly gateway: SimulatedGateway;
-    readonly path: Path;
-    /** Rows that it knows. */
+    readonly path: StorePath;
+    /** The rows known to the gateway. */
     readonly rows: Map<string, unknown>;
     confirmedAt: Moment | undefined;
     graceEnd: number;
 }
 
-/** Gateways that follow a table, most of them by what the relays say. */
+/** Gateways that follow a table, most of them through the reports of relays. */
 class FollowingGroup {
     readonly group: SimulatedGroup;
     readonly table: WatchedTable;
@@ -67,14 +67,14 @@
     }
 
     private follow(gateway: SimulatedGateway): Follower {
-        const path = { calls: 0, after: 0, isTurnedAway: false };
+        const path = { calls: 0, after: 0, isRefused: false };
         const follower: Follower = { gateway, path, rows: new Map(), confirmedAt: undefined, graceEnd: -Infinity };
         gateway.watch = new TableWatch({
             clock: this.group.clock,
             store: storeOver(this.table, path),
             table: "t",
             wait: watchWait(contactTime),
-            reliance: relianceWithin(promise),
+            reliance: relianceWithin(maxStaleness),
             role: () => this.role?.(gateway) ?? roleOf(gateway),
             onSnapshot: rows => {
                 follower.rows.clear();
@@ -97,34 +97,34 @@
     return watchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
 }
 
-function storeOver(table: WatchedTable, path: Path): Store {
+function storeOver(table: WatchedTable, path: StorePath): Store {
     const refused: StoreFailure = { kind: "unavailable", reason: "status 503" };
     return {
         read: () => {
             path.calls++;
-            return path.isTurnedAway ? Promise.resolve(refused) : table.read();
+            return path.isRefused ? Promise.resolve(refused) : table.read();
         },
         watch: (name, after, wait) => {
             path.calls++;
             path.after = after;
-            return path.isTurnedAway ? Promise.resolve(refused) : table.watch(name, after, wait);
+            return path.isRefused ? Promise.resolve(refused) : table.watch(name, after, wait);
         },
         write: change => table.write(change),
     };
 }
 
-async function settled(dataCentres?: number, gatewaysEach?: number): Promise<FollowingGroup> {
-    const play = new FollowingGroup(dataCentres, gatewaysEach);
-    await play.run(6_000);
-    return play;
+async function createSettledGroup(dataCentres?: number, gatewaysEach?: number): Promise<FollowingGroup> {
+    const simulation = new FollowingGroup(dataCentres, gatewaysEach);
+    await simulation.run(6_000);
+    return simulation;
 }
 
 function ageAt({ confirmedAt }: Follower, { group }: FollowingGroup): number {
     return confirmedAt === undefined ? Infinity : ageOf(confirmedAt, group.clock);
 }
 
-test("32 gateways ask the store less than half as often as when each follows it by itself", async () => {
-    const shared = await settled(2, 16);
+test("32 gateways call the store less than half as often as when each polls it by itself", async () => {
+    const shared = await createSettledGroup(2, 16);
     const alone = new FollowingGroup(2, 16, () => "alone");
     await alone.run(6_000);
     const before = [shared.calls, alone.calls] as const;
@@ -133,111 +133,111 @@
     assert.ok(calls < callsAlone / 2, `${calls} of ${callsAlone}`);
 });
 
-test("the calls do not grow with the gateways of a data centre", async () => {
-    const [few, many] = [await settled(2, 4), await settled(2, 20)];
+test("the number of calls does not grow with the number of gateways in a data centre", async () => {
+    const [few, many] = [await createSettledGroup(2, 4), await createSettledGroup(2, 20)];
     const before = [few.calls, many.calls] as const;
     await Promise.all([few.run(10_000), many.run(10_000)]);
     assert.ok(Math.abs((many.calls - before[1]) - (few.calls - before[0])) <= 4);
 });
 
-test("a change is known to all within 0.6 s", async () => {
-    const play = await settled(3, 8);
+test("all gateways know of a change within 0.6 s", async () => {
+    const simulation = await createSettledGroup(3, 8);
     for (let value = 2; value < 12; value++) {
-        await play.run(310);
-        play.table.put("a", value);
-        const time = await play.timeUntilKnown("a", value, 5_000);
+        await simulation.run(310);
+        simulation.table.put("a", value);
+        const time = await simulation.timeUntilKnown("a", value, 5_000);
         assert.ok(time <= 600, `${time} ms`);
     }
 });
 
-test("while nothing changes nobody's knowledge gets older than the promise allows", async () => {
-    const play = await settled();
+test("while nothing changes, the last confirmation at every gateway is younger than the maximum staleness", async () => {
+    const simulation = await createSettledGroup();
     for (let time = 0; time < 10_000; time += 100) {
-        await play.run(100);
-        const oldest = Math.max(...play.followers.map(follower => ageAt(follower, play)));
-        assert.ok(oldest < promise, `${oldest}`);
+        await simulation.run(100);
+        const oldest = Math.max(...simulation.followers.map(follower => ageAt(follower, simulation)));
+        assert.ok(oldest < maxStaleness, `${oldest}`);
     }
 });
 
-test("who relies on others asks for changes after what they have seen, so that the store need not remember for long", async () => {
-    const play = await settled();
-    play.table.changeOthers(1_000);
-    await play.run(3_000);
-    play.table.put("a", 2);
-    await play.run(1_000);
-    const oldest = Math.min(...play.followers.map(({ path }) => path.after));
+test("a follower requests changes after the versions its leader has seen, so that the store's history may be short", async () => {
+    const simulation = await createSettledGroup();
+    simulation.table.changeOthers(1_000);
+    await simulation.run(3_000);
+    simulation.table.put("a", 2);
+    await simulation.run(1_000);
+    const oldest = Math.min(...simulation.followers.map(({ path }) => path.after));
     assert.ok(oldest > 1_000, `${oldest}`);
 });
 
 for (const lost of ["one relay", "both relays", "all relays"]) {
-    test(`${lost} lost: a change is known to all others within the promise`, async () => {
+    test(`${lost} lost: all others know of a change within the maximum staleness`, async () => {
         for (let delay = 0; delay <= 1_500; delay += 500) {
-            const play = await settled();
+            const simulation = await createSettledGroup();
             const indexes = { "one relay": [0], "both relays": [0, 1], "all relays": [0, 1, 8, 9] }[lost] ?? [];
             indexes.forEach(index => {
-                const gateway = play.group.gateways[index];
+                const gateway = simulation.group.gateways[index];
                 assert.ok(gateway !== undefined);
                 gateway.isDown = true;
             });
-            await play.run(delay);
-            play.table.put("a", 2);
-            const time = await play.timeUntilKnown("a", 2, 5_000);
-            assert.ok(time < promise, `${time} ms, ${delay} ms after the loss`);
+            await simulation.run(delay);
+            simulation.table.put("a", 2);
+            const time = await simulation.timeUntilKnown("a", 2, 5_000);
+            assert.ok(time < maxStaleness, `${time} ms, ${delay} ms after the loss`);
         }
     });
 }
 
-test("the store turns all relays away: a change is known to all others within the promise", async () => {
+test("the store refuses all relays: all others know of a change within the maximum staleness", async () => {
     for (let delay = 0; delay <= 3_000; delay += 1_000) {
-        const play = await settled();
-        play.followers.forEach(({ path }, index) => {
-            path.isTurnedAway = index % 8 < 2;
+        const simulation = await createSettledGroup();
+        simulation.followers.forEach(({ path }, index) => {
+            path.isRefused = index % 8 < 2;
         });
-        await play.run(delay);
-        play.table.put("a", 2);
-        const others = play.followers.filter(({ path }) => !path.isTurnedAway);
+        await simulation.run(delay);
+        simulation.table.put("a", 2);
+        const others = simulation.followers.filter(({ path }) => !path.isRefused);
         for (let time = 0; others.some(({ rows }) => rows.get("a") !== 2); time += 20) {
-            assert.ok(time < promise, `${time} ms`);
-            await play.run(20);
+            assert.ok(time < maxStaleness, `${time} ms`);
+            await simulation.run(20);
         }
     }
 });
 
-test("connections fall silent: a change is known to all within the time in contact", async () => {
+test("connections stop delivering replies: all gateways know of a change within the contact time", async () => {
     for (let delay = 0; delay <= 2_000; delay += 500) {
-        const play = await settled();
-        await play.run(delay);
-        play.table.silenceConnections();
-        play.table.put("a", 2);
-        const time = await play.timeUntilKnown("a", 2, 8_000);
+        const simulation = await createSettledGroup();
+        await simulation.run(delay);
+        simulation.table.silenceConnections();
+        simulation.table.put("a", 2);
+        const time = await simulation.timeUntilKnown("a", 2, 8_000);
         assert.ok(time < contactTime, `${time} ms`);
     }
 });
 
-test("rows that vanished in an outage may come back, at gateways that rely on others as well", async () => {
-    const play = await settled();
-    play.table.setAway(true);
-    await play.run(4_000);
-    play.table.put("a", undefined);
-    play.table.setAway(false);
-    await play.run(1_000);
-    for (const { rows, graceEnd } of play.followers) {
+test("rows that were removed in an outage may be written again, at followers as well", async () => {
+    const simulation = await createSettledGroup();
+    simulation.table.setAway(true);
+    await simulation.run(4_000);
+    simulation.table.put("a", undefined);
+    simulation.table.setAway(false);
+    await simulation.run(1_000);
+    for (const { rows, graceEnd } of simulation.followers) {
         assert.ok(rows.has("a") && rows.get("a") === undefined);
-        assert.ok(graceEnd > play.group.clock.now());
+        assert.ok(graceEnd > simulation.group.clock.now());
     }
 });
 
-test("what a gateway believes to be true was true at the moment that it names", async () => {
-    const play = await settled(2, 6);
+test("a row that a gateway holds was current at the moment to which the gateway counts it as confirmed", async () => {
+    const simulation = await createSettledGroup(2, 6);
     let value = 1;
-    const writtenAt = [play.group.clock.now()];
+    const writtenAt = [simulation.group.clock.now()];
     for (let round = 0; round < 60; round++) {
-        await play.run(90 + (round * 37) % 200);
+        await simulation.run(90 + (round * 37) % 200);
         if (round % 3 === 0) {
-            play.table.put("a", ++value);
-            writtenAt[value] = play.group.clock.now();
+            simulation.table.put("a", ++value);
+            writtenAt[value] = simulation.group.clock.now();
         }
-        for (const { rows, confirmedAt } of play.followers) {
+        for (const { rows, confirmedAt } of simulation.followers) {
             const next = writtenAt[Number(rows.get("a")) + 1] ?? Infinity;
             assert.ok((confirmedAt?.now ?? 0) <= next, "a value counted as confirmed after it was replaced");
         }
--- a/packages/gateway/src/lib/store/watchWait.ts
+++ b/packages/gateway/src/lib/store/watchWait.ts
@@ -1,45 +1,48 @@
 import { watchSlack } from "./Store.js";
 
 /**
- * Milliseconds that are left of the time in contact when a call over a silent connection is given up: for the next call, its
- * new connection and its answer (some 10 ms together) on a host that is busy. Chosen.
+ * Milliseconds of the contact time that remain after a call on an unresponsive connection times out. The next call
+ * needs about 10 ms for its new connection and its reply, and longer on a busy host.
  */
 const reconnectTime = 600;
-/** Milliseconds that one call waits at least, whatever the time in contact: each call is priced. */
-const leastWait = 500;
+/** Minimum milliseconds that one call waits, whatever the contact time, because each call is billed. */
+const minWait = 500;
 
 /**
- * Milliseconds that one call may wait for changes of a table. A connection that falls silent is noticed when the call on it is
- * given up, and that must be within the time in contact.
+ * Milliseconds that one call may wait for changes of a table. An unresponsive connection is detected only when the call
+ * on it times out, which must happen within the contact time.
+ *
+ * @param contactTime - Milliseconds within which a process that can reach the store must know of every change.
  */
 export function watchWait(contactTime: number): number {
-    return Math.max(leastWait, contactTime - watchSlack - reconnectTime);
+    return Math.max(minWait, contactTime - watchSlack - reconnectTime);
 }
 
-/** How a watch relies on what peers tell of its table. */
+/** Limits for a watch that uses its peers' reports instead of polling the store. */
 export interface Reliance {
-    /** Milliseconds since the last moment at which the table was surely as known, after which the watch asks the store itself. */
+    /** Maximum age in milliseconds of the last confirmation by a peer; after that the watch polls the store itself. */
     readonly bound: number;
-    /** Milliseconds that calls of a gateway wait on whose word others rely. */
+    /** Milliseconds that each call of a leader waits for changes. */
     readonly wait: number;
 }
 
 /**
- * Milliseconds of a promise that are left when a watch asks the store itself: for a call that gets no answer, and the next one
- * over a new connection. Chosen.
+ * Milliseconds of the maximum staleness that remain when a watch starts to poll the store itself: enough for a call
+ * that times out and the next one on a new connection.
  */
-const askTime = watchSlack + 300;
-/** Milliseconds from the answer to one gateway until those that rely on it have its word: four heartbeats. */
-const handOnTime = 800;
-/** Milliseconds under which a bound is not worth relying: the others would have to ask the store more often than all do now. */
-const leastBound = 2_000;
+const storeCallTime = watchSlack + 300;
+/** Milliseconds from the store's reply to a leader until its followers have the leader's report: four heartbeats. */
+const relayTime = 800;
+/** Minimum useful bound in milliseconds: below it, leaders would poll more often than all gateways do alone. */
+const minBound = 2_000;
 
 /**
- * How a watch may rely on peers where what the store has taken must be known within some time.
+ * The limits for a shared watch under which every gateway still learns of a change in time.
  *
- * @returns Undefined where each gateway must follow the store by itself.
+ * @param maxStaleness - Milliseconds after the store accepted a change within which a gateway must know of it.
+ * @returns Undefined if each gateway must poll the store itself.
  */
-export function relianceWithin(promise: number): Reliance | undefined {
-    const bound = promise - askTime;
-    return bound < leastBound ? undefined : { bound, wait: bound - handOnTime };
+export function relianceWithin(maxStaleness: number): Reliance | undefined {
+    const bound = maxStaleness - storeCallTime;
+    return bound < minBound ? undefined : { bound, wait: bound - relayTime };
 }
