--- a/packages/gateway/src/lib/peers/GroupMembers.ts
+++ b/packages/gateway/src/lib/peers/GroupMembers.ts
@@ -1,6 +1,6 @@
 import { type Clock } from "@waxwingspar/utils";
 
-/** A gateway and where it is. */
+/** The address and the data centre of a gateway. */
 export interface Member {
     /** Host and port of its heartbeats. */
     readonly address: string;
@@ -8,15 +8,18 @@
 }
 
 interface KnownMember extends Member {
-    readonly learntAt: number;
-    /** When a gateway that hears it last named it, or it was heard here; -Infinity while it only stands in the store's table. */
+    readonly addedAt: number;
+    /**
+     * When its heartbeat was last received here, or another gateway last reported receiving one; -Infinity while it is
+     * known from the store's table only.
+     */
     aliveAt: number;
-    /** When this process last heard it. */
+    /** When its heartbeat was last received here. */
     heardAt: number;
-    /** Since when this process reports to it; undefined while it does not. */
+    /** Since when it is a relay of this process; undefined while it is none. */
     relaySince: number | undefined;
-    /** Until when it is not chosen as relay, because it was silent. */
-    passedOverUntil: number;
+    /** Until when it is not chosen as a relay, because its heartbeats were missing. */
+    skippedUntil: number;
 }
 
 /** Options of {@link GroupMembers}. */
@@ -25,31 +28,31 @@
     readonly own: Member;
 }
 
-/** Relays of a data centre: with one of them lost the other one goes on. */
+/** Number of relays of a data centre: if one fails, the other continues. */
 const relayCount = 2;
-/** Members of a data centre that its relays name: themselves and those that take their places. */
-const namedCount = 4;
-/** Milliseconds for which a member that was named counts as alive: twenty heartbeats. */
-const namedTimeout = 4_000;
-/** Milliseconds without a heartbeat of a relay after which another one is chosen. */
+/** Members of a data centre that its relays report: the relays themselves and their possible replacements. */
+const reportedCount = 4;
+/** Milliseconds for which a member counts as alive after it was reported: twenty heartbeats. */
+const reportTimeout = 4_000;
+/** Milliseconds without a heartbeat from a relay after which another one is chosen. */
 const relayTimeout = 1_000;
-/** Milliseconds for which a silent relay is passed over. Longer than others name it, if it is gone. */
-const passOverTime = 6_000;
-/** Members not known to live that are tried with each heartbeat. */
-const triedCount = 2;
-/** Milliseconds after which a member that nobody names is forgotten: hosts are replaced all the time. */
-const forgetTime = 30_000;
-/** Members of a data centre that are never forgotten, however long it was cut off: through them it is found again. */
-const keptCount = 8;
+/** Milliseconds for which an unresponsive relay is not chosen again. Other gateways stop reporting it earlier. */
+const relaySkipTime = 6_000;
+/** Number of members not known to be alive that are probed with each heartbeat. */
+const probeCount = 2;
+/** Milliseconds after which a member that no gateway reports is removed, because hosts are replaced continually. */
+const retention = 30_000;
+/** Members of each data centre that are never removed, so that it can be found again after any partition. */
+const minRetained = 8;
 
 /**
- * The gateways that this process knows of, and which of its own data centre are the relays: the first by address of those
- * that live, so that all choose the same ones.
+ * The gateways known to this process. Chooses the relays of its own data centre: the first live ones by address, so
+ * that all gateways choose the same ones.
  */
 export class GroupMembers {
     private readonly members = new Map<string, KnownMember>();
-    /** How many members of each data centre were tried so far. */
-    private readonly turns = new Map<string, number>();
+    /** How many members of each data centre have been probed so far. */
+    private readonly probeTurns = new Map<string, number>();
 
     constructor(private readonly options: GroupMembersOptions) {}
 
@@ -57,34 +60,34 @@
         return this.members.size;
     }
 
-    /** Data centres other than the own one in which gateways are known. */
-    get otherDataCentres(): string[] {
+    /** Other data centres in which gateways are known. */
+    get remoteDataCentres(): string[] {
         const all = new Set([...this.members.values()].map(({ dataCentre }) => dataCentre));
         all.delete(this.options.own.dataCentre);
         return [...all];
     }
 
-    /** Whether other gateways of the own data centre are known, but none that lives. */
-    get isAlone(): boolean {
+    /** Whether other gateways of the own data centre are known, but none is alive. */
+    get isIsolated(): boolean {
         const local = this.of(this.options.own.dataCentre);
         return local.length > 0 && local.every(member => !this.isAlive(member));
     }
 
-    /** Takes a member that may no longer live. */
-    learn(member: Member): void {
+    /** Adds a member that may not be alive. */
+    add(member: Member): void {
         this.known(member);
     }
 
-    /** A gateway that hears the member told of it. */
-    named(member: Member): void {
+    /** Records that another gateway reported receiving the member's heartbeats. */
+    markReported(member: Member): void {
         const known = this.known(member);
         if (known !== undefined) {
             known.aliveAt = this.options.clock.now();
         }
     }
 
-    /** A heartbeat of the member came. */
-    heard(member: Member): void {
+    /** Records a heartbeat from the member. */
+    markHeard(member: Member): void {
         const known = this.known(member);
         if (known !== undefined) {
             known.aliveAt = this.options.clock.now();
@@ -92,12 +95,12 @@
         }
     }
 
-    /** The relays of the own data centre; this process may be one of them. */
+    /** Chooses the relays of the own data centre; this process may be one of them. */
     chooseRelays(): readonly string[] {
         const { own, clock } = this.options;
         const now = clock.now();
-        this.passOverSilentRelays(now);
-        const usable = this.of(own.dataCentre).filter(member => this.isAlive(member) && member.passedOverUntil <= now);
+        this.skipSilentRelays(now);
+        const usable = this.of(own.dataCentre).filter(member => this.isAlive(member) && member.skippedUntil <= now);
         const relays = [own, ...usable].map(({ address }) => address).sort().slice(0, relayCount);
         for (const member of this.members.values()) {
             member.relaySince = relays.includes(member.address) ? member.relaySince ?? now : undefined;
@@ -105,60 +108,60 @@
         return relays;
     }
 
-    /** Some members of the own data centre that may be its relays, other ones each time. */
-    tryHere(count = triedCount): readonly string[] {
+    /** The next members of the own data centre to probe as possible relays, in rotation. */
+    nextLocalProbes(count = probeCount): readonly string[] {
         const now = this.options.clock.now();
         const { dataCentre } = this.options.own;
-        return this.takeTurns(dataCentre, this.of(dataCentre).filter(member => member.passedOverUntil <= now), count);
+        return this.rotate(dataCentre, this.of(dataCentre).filter(member => member.skippedUntil <= now), count);
     }
 
-    /** Some members of another data centre that may know its relays, other ones each time: those that live, if any do. */
-    tryElsewhere(dataCentre: string): readonly string[] {
+    /** The next members of another data centre to ask for its relays, in rotation: live ones if there are any. */
+    nextRemoteProbes(dataCentre: string): readonly string[] {
         const all = this.of(dataCentre);
         const alive = all.filter(member => this.isAlive(member));
-        return this.takeTurns(dataCentre, alive.length > 0 ? alive : all);
+        return this.rotate(dataCentre, alive.length > 0 ? alive : all);
     }
 
-    /** The first gateways of the own data centre by address, of those that this process hears, and itself. */
-    get heardHere(): readonly string[] {
+    /** The first gateways of the own data centre by address: this process and those whose heartbeats it receives. */
+    get heardLocal(): readonly string[] {
         const { own, clock } = this.options;
         const bound = clock.now() - relayTimeout;
         const heard = this.of(own.dataCentre).filter(({ heardAt }) => heardAt >= bound);
-        return [own, ...heard].map(({ address }) => address).sort().slice(0, namedCount);
+        return [own, ...heard].map(({ address }) => address).sort().slice(0, reportedCount);
     }
 
-    /** The first gateways of another data centre by address, of those that live. */
+    /** The first live gateways of another data centre by address. */
     aliveIn(dataCentre: string): readonly string[] {
         const alive = this.of(dataCentre).filter(member => this.isAlive(member));
         return alive.map(({ address }) => address).sort().slice(0, relayCount);
     }
 
-    /** Forgets members that nobody has named for long, but for a few of each data centre. */
-    forgetGone(): void {
-        const bound = this.options.clock.now() - forgetTime;
-        const lastKnown = ({ aliveAt, learntAt }: KnownMember) => Math.max(aliveAt, learntAt);
-        for (const dataCentre of [this.options.own.dataCentre, ...this.otherDataCentres]) {
+    /** Removes members that were not reported within the retention time, except for a few of each data centre. */
+    removeExpired(): void {
+        const bound = this.options.clock.now() - retention;
+        const lastKnown = ({ aliveAt, addedAt }: KnownMember) => Math.max(aliveAt, addedAt);
+        for (const dataCentre of [this.options.own.dataCentre, ...this.remoteDataCentres]) {
             this.of(dataCentre)
                 .sort((a, b) => lastKnown(b) - lastKnown(a))
-                .slice(keptCount)
+                .slice(minRetained)
                 .filter(member => lastKnown(member) < bound)
                 .forEach(({ address }) => this.members.delete(address));
         }
     }
 
-    private takeTurns(dataCentre: string, members: readonly KnownMember[], count = triedCount): string[] {
-        const turn = this.turns.get(dataCentre) ?? 0;
-        this.turns.set(dataCentre, turn + count);
+    private rotate(dataCentre: string, members: readonly KnownMember[], count = probeCount): string[] {
+        const turn = this.probeTurns.get(dataCentre) ?? 0;
+        this.probeTurns.set(dataCentre, turn + count);
         const start = members.length === 0 ? 0 : turn % members.length;
         const inTurn = [...members.slice(start), ...members.slice(0, start)];
         return inTurn.slice(0, count).map(({ address }) => address);
     }
 
-    private passOverSilentRelays(now: number): void {
+    private skipSilentRelays(now: number): void {
         for (const member of this.members.values()) {
             const { relaySince, heardAt } = member;
             if (relaySince !== undefined && now - Math.max(relaySince, heardAt) > relayTimeout) {
-                member.passedOverUntil = now + passOverTime;
+                member.skippedUntil = now + relaySkipTime;
             }
         }
     }
@@ -173,11 +176,11 @@
         const member: KnownMember = {
             address,
             dataCentre,
-            learntAt: clock.now(),
+            addedAt: clock.now(),
             aliveAt: -Infinity,
             heardAt: -Infinity,
             relaySince: undefined,
-            passedOverUntil: -Infinity,
+            skippedUntil: -Infinity,
         };
         this.members.set(address, member);
         return member;
@@ -188,6 +191,6 @@
     }
 
     private isAlive({ aliveAt }: KnownMember): boolean {
-        return aliveAt >= this.options.clock.now() - namedTimeout;
+        return aliveAt >= this.options.clock.now() - reportTimeout;
     }
 }
--- a/packages/gateway/src/lib/peers/GroupSums.test.ts
+++ b/packages/gateway/src/lib/peers/GroupSums.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { addSums, boundSums, sumsOf, withoutMember } from "./GroupSums.js";
+import { addSums, sumsOf, truncateSums, withoutMember } from "./GroupSums.js";
 import { type PeerState } from "./PeerState.js";
 
 const first: PeerState = {
@@ -19,7 +19,7 @@
     mayTakeDuty: false,
 };
 
-test("sums count loads, witnesses and crashes, and take the largest slowdown", () => {
+test("sums add up loads, suspecting gateways and crashes, and take the largest slowdown", () => {
     assert.deepEqual(addSums([sumsOf("b", first), sumsOf("a", second)]), {
         members: 2,
         dutyTerm: 2,
@@ -31,12 +31,12 @@
     });
 });
 
-test("the first candidate is the first by name of those that may take the duty", () => {
+test("the first candidate is the first process by name that may take the duty", () => {
     const sums = ["c", "a", "b"].map(process => sumsOf(process, { ...first, mayTakeDuty: process !== "a" }));
     assert.equal(addSums(sums).firstCandidate, "b");
 });
 
-test("a sum without a member lacks its requests and its suspicions", () => {
+test("removing a member subtracts its requests and its suspicions", () => {
     const both = addSums([sumsOf("b", first), sumsOf("a", second)]);
     const rest = withoutMember(both, second);
     assert.equal(rest.members, 1);
@@ -45,9 +45,9 @@
     assert.deepEqual(rest.crashes, { r1: 1, r2: 0 });
 });
 
-test("a bounded sum keeps the targets with the most requests", () => {
+test("a truncated sum keeps the targets with the most requests", () => {
     const chainLoads = Object.fromEntries(Array.from({ length: 30 }, (_, load) => [`t${load}`, load]));
-    const bounded = boundSums(sumsOf("a", { ...first, chainLoads }));
+    const bounded = truncateSums(sumsOf("a", { ...first, chainLoads }));
     assert.equal(Object.keys(bounded.chainLoads).length, 10);
     assert.equal(bounded.chainLoads["t29"], 29);
 });
--- a/packages/gateway/src/lib/peers/GroupSums.ts
+++ b/packages/gateway/src/lib/peers/GroupSums.ts
@@ -1,21 +1,21 @@
 import * as z from "zod/mini";
 import { type PeerState } from "./PeerState.js";
 
-/** What several gateways together told of themselves. */
+/** The aggregated state of several gateways. */
 export const groupSumsSchema = z.object({
-    /** How many gateways these are. */
+    /** The number of gateways. */
     members: z.number(),
-    /** The newest term under which one of them holds the placement duty. */
+    /** The newest term under which any of them holds the lease of the placement duty. */
     dutyTerm: z.optional(z.number()),
-    /** Of those that could take the duty, the first by name. */
+    /** The first by name of those that may take the placement duty. */
     firstCandidate: z.optional(z.string()),
-    /** Requests in flight, by the first target of their chain. */
+    /** Number of requests in flight, by the id of the first target of their chain. */
     chainLoads: z.record(z.string(), z.number()),
-    /** How many of them take a target for lost, by its id. */
+    /** Number of gateways that suspect a target of having failed, by its id. */
     suspects: z.record(z.string(), z.number()),
-    /** Targets that crashed under a request, by its digest. */
+    /** Number of targets that crashed while running a request, by the digest of the request. */
     crashes: z._default(z.record(z.string(), z.number()), {}),
-    /** The largest slowdown that one of them knows, by the id of the target. */
+    /** The largest slowdown known to any of them, by the id of the target. */
     slowTargets: z.record(z.string(), z.number()),
 });
 
@@ -23,12 +23,12 @@
 export type GroupSums = z.infer<typeof groupSumsSchema>;
 
 /**
- * Entries of each table that go into one datagram, the largest first. With full tables of ids of twelve characters a heartbeat stays
- * below 1,200 bytes, so that no network on the way splits it.
+ * Maximum entries of each table in one datagram, largest first. With full tables and ids of twelve characters a
+ * heartbeat stays below 1,200 bytes, so that no network fragments it.
  */
-const mostEntries = { chainLoads: 10, suspects: 7, slowTargets: 4, crashes: 6 };
+const maxEntries = { chainLoads: 10, suspects: 7, slowTargets: 4, crashes: 6 };
 
-/** What one gateway told, as a sum. */
+/** The state of one gateway, as a sum. */
 export function sumsOf(process: string, state: PeerState): GroupSums {
     return {
         members: 1,
@@ -41,7 +41,7 @@
     };
 }
 
-/** The sum over groups that have no gateway in common. */
+/** Adds the sums of disjoint groups of gateways. */
 export function addSums(parts: readonly GroupSums[]): GroupSums {
     const terms = parts.flatMap(({ dutyTerm }) => dutyTerm ?? []);
     const candidates = parts.flatMap(({ firstCandidate }) => firstCandidate ?? []).sort();
@@ -57,38 +57,38 @@
 }
 
 /**
- * A sum without one of its gateways, by what that one told. The largest slowdowns, the term and the candidate stay, since
- * they may be another one's as well.
+ * Removes one gateway from a sum, given the state that it reported. The largest slowdowns, the term and the candidate
+ * stay, since they may also come from another gateway.
  */
 export function withoutMember(sums: GroupSums, state: PeerState): GroupSums {
     const suspects = { ...sums.suspects };
-    state.suspects.forEach(id => lower(suspects, id, 1));
+    state.suspects.forEach(id => subtract(suspects, id, 1));
     const chainLoads = { ...sums.chainLoads };
-    Object.entries(state.chainLoads).forEach(([id, load]) => lower(chainLoads, id, load));
+    Object.entries(state.chainLoads).forEach(([id, load]) => subtract(chainLoads, id, load));
     const crashes = { ...sums.crashes };
-    Object.entries(state.crashes).forEach(([digest, count]) => lower(crashes, digest, count));
+    Object.entries(state.crashes).forEach(([digest, count]) => subtract(crashes, digest, count));
     return { ...sums, members: sums.members - 1, suspects, chainLoads, crashes };
 }
 
-/** A sum that fits into a heartbeat: of each table the largest entries. */
-export function boundSums(sums: GroupSums): GroupSums {
+/** Truncates each table of a sum to its largest entries, so that the sum fits into a heartbeat. */
+export function truncateSums(sums: GroupSums): GroupSums {
     return {
         ...sums,
-        chainLoads: largest(sums.chainLoads, mostEntries.chainLoads),
-        suspects: largest(sums.suspects, mostEntries.suspects),
-        slowTargets: largest(sums.slowTargets, mostEntries.slowTargets),
-        crashes: largest(sums.crashes, mostEntries.crashes),
+        chainLoads: largest(sums.chainLoads, maxEntries.chainLoads),
+        suspects: largest(sums.suspects, maxEntries.suspects),
+        slowTargets: largest(sums.slowTargets, maxEntries.slowTargets),
+        crashes: largest(sums.crashes, maxEntries.crashes),
     };
 }
 
-/** A gateway's own word that fits into a heartbeat, cut like the sums; crashes come in the order in which they matter. */
-export function boundState(state: PeerState): PeerState {
+/** Truncates a gateway's own state like {@link truncateSums}, except that crashes are already sorted by importance. */
+export function truncateState(state: PeerState): PeerState {
     return {
         ...state,
-        suspects: state.suspects.slice(0, mostEntries.suspects),
-        chainLoads: largest(state.chainLoads, mostEntries.chainLoads),
-        slowTargets: largest(state.slowTargets, mostEntries.slowTargets),
-        crashes: Object.fromEntries(Object.entries(state.crashes).slice(0, mostEntries.crashes)),
+        suspects: state.suspects.slice(0, maxEntries.suspects),
+        chainLoads: largest(state.chainLoads, maxEntries.chainLoads),
+        slowTargets: largest(state.slowTargets, maxEntries.slowTargets),
+        crashes: Object.fromEntries(Object.entries(state.crashes).slice(0, maxEntries.crashes)),
     };
 }
 
@@ -104,7 +104,7 @@
     return Object.fromEntries(joined);
 }
 
-function lower(table: Record<string, number>, id: string, by: number): void {
+function subtract(table: Record<string, number>, id: string, by: number): void {
     const value = table[id];
     if (value !== undefined) {
         table[id] = Math.max(0, value - by);
--- a/packages/gateway/src/lib/peers/HeardPeers.test.ts
+++ b/packages/gateway/src/lib/peers/HeardPeers.test.ts
@@ -10,7 +10,7 @@
     const clock = new ManualClock(50_000);
     const peers = new HeardPeers(clock);
     const hear = (sequence: number, more: Partial<PeerState> = {}, incarnation = "1") =>
-        peers.hear({
+        peers.receive({
             process: "p",
             incarnation,
             address: "10.0.0.1:1",
@@ -23,31 +23,31 @@
     return { clock, peers, hear };
 }
 
-test("a heartbeat that was overtaken is not taken", () => {
+test("a heartbeat that arrives out of order is ignored", () => {
     const { peers, hear } = createPeers();
     hear(2, { dutyTerm: undefined });
     assert.equal(hear(1, { dutyTerm: 7 }), "late");
     assert.equal(peers.alive()[0]?.state?.dutyTerm, undefined);
 });
 
-test("a heartbeat that comes twice is taken once", () => {
+test("a duplicate heartbeat is ignored", () => {
     const { hear } = createPeers();
     assert.equal(hear(2), "new");
     assert.equal(hear(2), "late");
 });
 
-test("a peer that started again is heard from its first heartbeat on", () => {
+test("a restarted peer is accepted from its first heartbeat on", () => {
     const { peers, hear } = createPeers();
     assert.equal(hear(9_000), "new");
     assert.equal(hear(5, {}, "2"), "new");
     assert.equal(peers.alive()[0]?.incarnation, "2");
 });
 
-test("a peer that falls silent is gone after a second, and forgotten", () => {
+test("a peer that sends no heartbeats is no longer alive after a second, and removed", () => {
     const { clock, peers, hear } = createPeers();
     hear(0);
     clock.advance(1_001);
     assert.deepEqual(peers.alive(), []);
-    peers.forgetGone();
+    peers.removeExpired();
     assert.equal(hear(1), "new");
 });
--- a/packages/gateway/src/lib/peers/HeardPeers.ts
+++ b/packages/gateway/src/lib/peers/HeardPeers.ts
@@ -3,25 +3,25 @@
 
 /** The last heartbeat of a peer. */
 export interface Peer extends Heartbeat {
-    /** On this process's clock. */
+    /** When it was received, on this process's clock. */
     readonly heardAt: number;
 }
 
-/** Milliseconds without a heartbeat after which a peer counts as gone: several lost datagrams in a row. */
+/** Milliseconds without a heartbeat after which a peer counts as failed: several consecutive losses. */
 export const peerTimeout = 1_000;
 
-/** What the last heartbeat of each peer said that sends to this process, and for how long that may be believed. */
+/** The last heartbeat of each peer that sends to this process. It is valid until the peer times out. */
 export class HeardPeers {
     private readonly peers = new Map<string, Peer>();
 
     constructor(private readonly clock: Clock) {}
 
     /**
-     * Takes a heartbeat. A datagram that an earlier one overtook says what no longer holds, and is not taken.
+     * Stores a heartbeat, unless it is a duplicate or a newer one has already arrived.
      *
-     * @returns "new" for the first one of a start of the peer, "late" for one that was overtaken.
+     * @returns "new" for the first heartbeat of an incarnation of the peer, "late" for one that was ignored.
      */
-    hear(heartbeat: Heartbeat): "new" | "known" | "late" {
+    receive(heartbeat: Heartbeat): "new" | "known" | "late" {
         const { process, incarnation, sequence } = heartbeat;
         const known = this.peers.get(process);
         const isKnown = known?.incarnation === incarnation;
@@ -37,13 +37,13 @@
         return peer !== undefined && this.isFresh(peer) ? peer : undefined;
     }
 
-    /** Peers that were heard of within the timeout. */
+    /** Peers whose last heartbeat arrived within the timeout. */
     alive(): Peer[] {
         return [...this.peers.values()].filter(peer => this.isFresh(peer));
     }
 
-    /** Forgets peers that are gone: hosts are replaced all the time, and their names do not come back. */
-    forgetGone(): void {
+    /** Removes peers that timed out: hosts are replaced continually, and their names are not reused. */
+    removeExpired(): void {
         for (const [process, peer] of this.peers) {
             if (!this.isFresh(peer)) {
                 this.peers.delete(process);
--- a/packages/gateway/src/lib/peers/PeerExchange.test.ts
+++ b/packages/gateway/src/lib/peers/PeerExchange.test.ts
@@ -9,7 +9,7 @@
     [300, { dataCentres: 5, gatewaysEach: 60 }],
 ];
 const lossy = { loss: 0.1, repeats: 0.1, mostDelay: 150 };
-/** Bytes beyond which a network may split a datagram. */
+/** Bytes above which a network may fragment a datagram. */
 const datagramBound = 1_200;
 
 function sizesSeen(gateways: readonly SimulatedGateway[]): number[] {
@@ -17,8 +17,8 @@
 }
 
 /**
- * A group that has found together. Gateways make themselves known for 1.2 s after their start, and who was told goes on as a
- * relay, and is answered, for a second each.
+ * A group in which discovery is complete. Gateways introduce themselves for 1.2 s after their start, and gateways that
+ * receive such an introduction act as relays, and are answered, for one second each.
  */
 function settledGroup(options: SimulatedGroupOptions = {}): SimulatedGroup {
     const group = new SimulatedGroup(options);
@@ -33,13 +33,13 @@
 }
 
 for (const [count, options] of sizes) {
-    test(`${count} gateways that start together know of each other within 1.8 s`, () => {
+    test(`${count} gateways that start together discover each other within 1.8 s`, () => {
         const group = new SimulatedGroup(options);
         group.run(1_800);
         assert.deepEqual(sizesSeen(group.living), [count]);
     });
 
-    test(`${count} gateways: what one carries is known to all within 0.9 s`, () => {
+    test(`${count} gateways: the load of one is known to all others within 0.9 s`, () => {
         const group = settledGroup(options);
         const busy = gatewayAt(group, count - 1);
         busy.state = { ...busy.state, chainLoads: { target: 7 } };
@@ -49,7 +49,7 @@
         assert.equal(busy.exchange.others.chainLoads["target"] ?? 0, 0);
     });
 
-    test(`${count} gateways: a member sends and gets 10 messages a second, a relay 5 for each that it hears`, () => {
+    test(`${count} gateways: a member sends and receives 10 messages a second, a relay 5 for each of its peers`, () => {
         const group = settledGroup(options);
         group.resetTraffic();
         const seconds = 4;
@@ -58,22 +58,22 @@
         const relayBound = 5 * (gatewaysEach - 1 + 2 * (dataCentres - 1));
         for (const { exchange, received, sent } of group.living) {
             const bound = (exchange.isRelay ? relayBound : 10) * seconds;
-            assert.ok(received.messages <= bound, `got ${received.messages}`);
-            assert.ok(sent.messages <= bound, `sent ${sent.messages}`);
+            assert.ok(received.messages <= bound, `received ${received.messages} messages, expected at most ${bound}`);
+            assert.ok(sent.messages <= bound, `sent ${sent.messages} messages, expected at most ${bound}`);
         }
         const relays = group.living.filter(({ exchange }) => exchange.isRelay);
         assert.equal(relays.length, 2 * dataCentres);
     });
 }
 
-test("gateways that each know only those that joined before find together, whatever their addresses", () => {
+test("gateways that each know only those that joined earlier form one group, whatever their addresses", () => {
     const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 8, startsFirst: true, firstAddress: 8 });
     group.run(5_000);
     assert.deepEqual(sizesSeen(group.living), [24]);
     assert.equal(group.living.filter(({ exchange }) => exchange.isRelay).length, 6);
 });
 
-test("no heartbeat is split on its way, however much there is to tell", () => {
+test("no heartbeat is large enough to be fragmented, however much state it contains", () => {
     const group = new SimulatedGroup({ dataCentres: 5, gatewaysEach: 14 });
     for (const [index, gateway] of group.gateways.entries()) {
         const ids = Array.from({ length: 40 }, (_, id) => `i-${1_000_000_000 + index * 40 + id}`);
@@ -92,7 +92,7 @@
     assert.ok(group.largestDatagram < datagramBound, `${group.largestDatagram} bytes`);
 });
 
-test("both relays of a data centre lost: the others know within 4 s who lives", () => {
+test("both relays of a data centre lost: the others know the live gateways within 4 s", () => {
     const group = settledGroup({ dataCentres: 5, gatewaysEach: 14 });
     gatewayAt(group, 0).isDown = true;
     gatewayAt(group, 1).isDown = true;
@@ -100,7 +100,7 @@
     assert.deepEqual(sizesSeen(group.living), [68]);
 });
 
-test("all four gateways that are named lost: the others know within 4 s who lives", () => {
+test("all four reported gateways of a data centre lost: the others know the live gateways within 4 s", () => {
     const group = settledGroup({ dataCentres: 3, gatewaysEach: 14 });
     [0, 1, 2, 3].forEach(index => {
         gatewayAt(group, index).isDown = true;
@@ -109,14 +109,14 @@
     assert.deepEqual(sizesSeen(group.living), [38]);
 });
 
-test("one relay lost: nobody else is taken for gone meanwhile", () => {
+test("one relay lost: no other gateway counts as failed in the meantime", () => {
     const group = settledGroup({ dataCentres: 3, gatewaysEach: 10 });
     gatewayAt(group, 0).isDown = true;
     group.run(4_000, () => assert.ok((sizesSeen(group.living)[0] ?? 0) >= 29));
     assert.deepEqual(sizesSeen(group.living), [29]);
 });
 
-test("a data centre that is lost, and one that was cut off for two minutes", () => {
+test("a data centre that is cut off is no longer counted, and counted again after two minutes", () => {
     const group = settledGroup({ dataCentres: 3, gatewaysEach: 6 });
     group.isCut = (from, to) => (from.dataCentre === "dc-0") !== (to.dataCentre === "dc-0");
     group.run(1_500);
@@ -127,7 +127,7 @@
     assert.deepEqual(sizesSeen(group.living), [18]);
 });
 
-test("two parts of a data centre that were cut off from each other for two minutes find together", () => {
+test("two partitions of a data centre merge after two minutes", () => {
     const group = settledGroup({ dataCentres: 2, gatewaysEach: 10 });
     const part = new Set(group.gateways.filter((_, index) => index < 10 && index % 2 === 0));
     group.isCut = (from, to) => part.has(from) !== part.has(to);
@@ -138,7 +138,7 @@
     assert.equal(group.living.filter(({ exchange }) => exchange.isRelay).length, 4);
 });
 
-test("hosts that are replaced all the time are forgotten, and the new ones found", () => {
+test("hosts that are replaced are removed, and the new ones discovered", () => {
     const group = settledGroup({ dataCentres: 2, gatewaysEach: 5 });
     for (let host = 0; host < 30; host++) {
         const old = gatewayAt(group, host);
@@ -153,7 +153,7 @@
     assert.ok(mostKnown <= 16, `${mostKnown} known`);
 });
 
-test("a gateway that starts again is heard with its new start only", () => {
+test("a restarted gateway counts with its new incarnation only", () => {
     const group = settledGroup({ dataCentres: 2, gatewaysEach: 4 });
     const old = gatewayAt(group, 6);
     old.state = { ...old.state, dutyTerm: 3, chainLoads: { target: 9 } };
@@ -167,7 +167,7 @@
 });
 
 for (const seed of [1, 2, 3]) {
-    test(`the holder of the duty is never overlooked while datagrams are lost, seed ${seed}`, () => {
+    test(`the holder of the duty is always known while datagrams are lost, seed ${seed}`, () => {
         const group = settledGroup({ dataCentres: 3, gatewaysEach: 8, seed, ...lossy });
         const holder = gatewayAt(group, 13);
         holder.state = { ...holder.state, dutyTerm: 5 };
@@ -179,7 +179,7 @@
         });
     });
 
-    test(`a confirmation is never taken for younger than it is, seed ${seed}`, () => {
+    test(`the age of a confirmation is never underestimated, seed ${seed}`, () => {
         const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 5, seed, ...lossy, mostDelay: 2_500 });
         let confirmedAt = -Infinity;
         group.run(20_000, () => {
@@ -193,7 +193,7 @@
     });
 }
 
-test("what one gateway has from the store confirms all others within 1.2 s", () => {
+test("a confirmation by the store reaches all other gateways within 1.2 s", () => {
     const group = settledGroup({ dataCentres: 5, gatewaysEach: 14 });
     const confirmedAt = group.clock.now();
     gatewayAt(group, 40).confirmedAt = confirmedAt;
@@ -202,7 +202,7 @@
     assert.ok(others.every(({ heardConfirmation }) => heardConfirmation >= confirmedAt - 800));
 });
 
-test("a peer's confirmation gets older from the moment it was heard of", () => {
+test("the age of a peer's confirmation increases after it was received", () => {
     const group = settledGroup();
     const [first, second] = [gatewayAt(group, 0), gatewayAt(group, 1)];
     assert.equal(second.exchange.tableAge("configurations"), Infinity);
@@ -210,30 +210,30 @@
     group.run(400);
     first.isDown = true;
     group.run(900);
-    const longestWay = 3;
+    const maxDelay = 3;
     const age = second.exchange.tableAge("configurations");
-    assert.ok(age >= 1_400 - longestWay, `${age}`);
+    assert.ok(age >= 1_400 - maxDelay, `${age}`);
 });
 
-test("the parts of a shared budget stay within it while 68 gateways start at once", () => {
+test("the shares of a budget stay within it while 68 gateways start together", () => {
     const group = new SimulatedGroup({ dataCentres: 4, gatewaysEach: 17, ...lossy });
-    group.run(10_000, () => assert.ok(sumOfParts(group) < 1.01, `${sumOfParts(group)}`));
-    assert.ok(sumOfParts(group) > 0.99);
+    group.run(10_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
+    assert.ok(sumOfShares(group) > 0.99);
 });
 
-test("the parts of a shared budget are within it 1.5 s after 68 gateways started for the first time", () => {
+test("the shares of a budget are within it 1.5 s after 68 gateways started for the first time", () => {
     const group = new SimulatedGroup({ dataCentres: 4, gatewaysEach: 17, startsFirst: true });
     group.run(1_500);
-    group.run(10_000, () => assert.ok(sumOfParts(group) < 1.01, `${sumOfParts(group)}`));
+    group.run(10_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
 });
 
-test("the parts of a shared budget stay within it while the group is cut in two", () => {
+test("the shares of a budget stay within it while the group is partitioned", () => {
     const group = settledGroup({ dataCentres: 4, gatewaysEach: 5 });
     group.isCut = (from, to) => (from.dataCentre < "dc-2") !== (to.dataCentre < "dc-2");
-    group.run(60_000, () => assert.ok(sumOfParts(group) < 1.01, `${sumOfParts(group)}`));
+    group.run(60_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
 });
 
-test("the parts of a shared budget stay within it while all gateways start again", () => {
+test("the shares of a budget stay within it while all gateways restart", () => {
     const group = settledGroup({ dataCentres: 2, gatewaysEach: 6 });
     group.gateways.forEach(gateway => {
         gateway.isDown = true;
@@ -241,9 +241,9 @@
     for (let index = 0; index < 12; index++) {
         group.introduce(group.add(index % 2, Math.floor(index / 2)));
     }
-    group.run(8_000, () => assert.ok(sumOfParts(group) < 1.01, `${sumOfParts(group)}`));
+    group.run(8_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
 });
 
-function sumOfParts({ living }: SimulatedGroup): number {
+function sumOfShares({ living }: SimulatedGroup): number {
     return living.reduce((sum, { size }) => sum + 1 / size.value, 0);
 }
--- a/packages/gateway/src/lib/peers/PeerExchange.ts
+++ b/packages/gateway/src/lib/peers/PeerExchange.ts
@@ -3,13 +3,13 @@
 import { currentMoment, type Moment } from "../Moment.js";
 import { type TableWord } from "../store/TableWatch.js";
 import { GroupMembers, type Member } from "./GroupMembers.js";
-import { addSums, boundState, boundSums, type GroupSums, sumsOf, withoutMember } from "./GroupSums.js";
+import { addSums, type GroupSums, sumsOf, truncateState, truncateSums, withoutMember } from "./GroupSums.js";
 import { HeardPeers, type Peer } from "./HeardPeers.js";
 import { type Heartbeat, readHeartbeat, writeHeartbeat } from "./heartbeat.js";
 import { type PeerState } from "./PeerState.js";
 import { SentHeartbeats } from "./SentHeartbeats.js";
 
-/** What is known of tables of the store, by their names. */
+/** The known state of the store's tables, by name. */
 export type TableWords = Readonly<Record<string, TableWord>>;
 
 /** Options of {@link PeerExchange}. */
@@ -19,118 +19,121 @@
     readonly incarnation: string;
     readonly own: Member;
     readonly logger: Logger;
-    /** Sends a datagram to a gateway; it may get lost. */
+    /** Sends a datagram to a gateway; delivery is not guaranteed. */
     readonly send: (address: string, datagram: string) => void;
+    /** The current state of this process. */
     readonly describe: () => PeerState;
-    /** What this process knows of tables of the store, by their names. */
+    /** The state of the store's tables as this process knows it, by name. */
     readonly words: () => TableWords;
-    /** A peer knew this of a table at some time after the given moment. */
-    readonly onWord?: (table: string, word: TableWord, after: Moment) => void;
-    /** What the peers told together has changed. */
+    /** A peer reported the state of a table at some time after the given moment. */
+    readonly onWord?: (table: string, status: TableWord, after: Moment) => void;
+    /** Called after each heartbeat with the aggregated state of the other gateways. */
     readonly onSums?: (others: GroupSums) => void;
 }
 
-/** Of so many datagrams that cannot be read one is logged, the first one included. */
-const unreadableLogged = 100;
+/** One out of this number of unreadable datagrams is logged, starting with the first. */
+const unreadableLogInterval = 100;
 
-/** Heartbeats after the start with which a gateway makes itself known to those that joined before, so many at once. */
-const introductionBeats = 6;
-const introducedAtOnce = 10;
+/** Number of heartbeats after the start in which a gateway introduces itself to gateways that joined earlier. */
+const introductionHeartbeats = 6;
+/** Number of gateways to which it introduces itself with each of these heartbeats. */
+const introductionBatch = 10;
 /**
- * Heartbeats after which a relay tries one more member of its data centre: parts that were cut off from each other and have relays
- * of their own find together within a minute. It costs a message in ten seconds, and five answers.
+ * Number of heartbeats between two probes that a relay sends to another member of its data centre. It lets partitions
+ * that have relays of their own merge within a minute, and costs one message in ten seconds and five replies.
  */
-const searchBeats = 50;
+const probeInterval = 50;
 
-const nobody: GroupSums = addSums([]);
+const emptySums: GroupSums = addSums([]);
 
-/** The sums over the most gateways. */
+/** The sums that cover the most gateways. */
 function largest(sums: readonly GroupSums[]): GroupSums {
-    return sums.reduce((best, next) => next.members > best.members ? next : best, nobody);
+    return sums.reduce((best, next) => next.members > best.members ? next : best, emptySums);
 }
 
 /**
- * Who tells whom what. Each gateway reports to two relays of its data centre; these add the reports up, tell the sum to the relays of
- * the other data centres, and tell the sum over all of them to the gateways that report here. So a gateway sends and gets
- * 10 messages a second however large the group is, and a relay 5 a second for each gateway of its data centre and each relay
- * elsewhere. Whoever gets a report acts as a relay, so nothing has to be agreed on when relays come and go.
+ * Exchanges heartbeats between gateways through relays. Each gateway reports its state to two relays of its data
+ * centre. A relay adds the reports up, sends this sum to the relays of the other data centres, and sends the sum over
+ * all data centres to the gateways that report to it. Thus a gateway sends and receives 10 messages a second whatever
+ * the size of the group, and a relay 5 a second for each gateway of its data centre and each remote relay. A gateway
+ * that receives a report acts as a relay, so that no agreement is needed when relays change.
  *
- * When all told all, 335 datagrams a second came into each of 68 gateways.
+ * With direct exchange between all gateways, each of 68 gateways received 335 datagrams a second.
  */
 export class PeerExchange {
     private readonly peers: HeardPeers;
-    /** The last sums that relays told: a gateway that becomes a relay needs them until others report to it. */
-    private readonly digests: HeardPeers;
+    /** The last sums received from relays. A new relay uses them until other gateways report to it. */
+    private readonly relayedSums: HeardPeers;
     private readonly members: GroupMembers;
     private readonly sent = new SentHeartbeats();
     private relays: readonly string[] = [];
     private sequence = 0;
     private unreadable = 0;
-    private sumsOfOthers: GroupSums | undefined;
-    /** By table, the latest moment to which any peer knew it, on the clock. */
-    private readonly tablesKnownAt = new Map<string, number>();
+    private cachedOthers: GroupSums | undefined;
+    /** By table, the latest moment to which any peer has confirmed its state, on the clock. */
+    private readonly tableConfirmedAt = new Map<string, number>();
 
     constructor(private readonly options: PeerExchangeOptions) {
         const { clock, own } = options;
         this.peers = new HeardPeers(clock);
-        this.digests = new HeardPeers(clock);
+        this.relayedSums = new HeardPeers(clock);
         this.members = new GroupMembers({ clock, own });
     }
 
-    /** Gateways that are known to this process, apart from itself. */
+    /** The number of gateways known to this process, not counting itself. */
     get knownMembers(): number {
         return this.members.size;
     }
 
-    /** Whether no other gateway of the data centre is heard of, although some are known. */
-    get isAlone(): boolean {
-        return this.members.isAlone;
+    /** Whether no other gateway of the own data centre is alive, although some are known. */
+    get isIsolated(): boolean {
+        return this.members.isIsolated;
     }
 
-    /** Whether this process adds up what others report. */
+    /** Whether this process aggregates the reports of other gateways. */
     get isRelay(): boolean {
         return this.relays.includes(this.options.own.address) || this.reporters().length > 0;
     }
 
-    /** What all gateways but this one told, as far as it has come here. */
+    /** The aggregated state of all other gateways, as known here. */
     get others(): GroupSums {
-        this.sumsOfOthers ??= this.sumOthers();
-        return this.sumsOfOthers;
+        this.cachedOthers ??= this.sumOthers();
+        return this.cachedOthers;
     }
 
-    /** Whether others rely on this process to follow the store: it is a relay, and gateways that are none report to it. */
+    /** Whether gateways that are not relays report to this process, and so depend on it to poll the store. */
     get hasFollowers(): boolean {
         return this.reporters().some(({ address }) => !this.relays.includes(address));
     }
 
-    /** Milliseconds since any peer that was heard here surely knew a table as it was. */
+    /** Milliseconds since the latest moment to which any peer has confirmed the state of a table. */
     tableAge(table: string): number {
-        return this.options.clock.now() - (this.tablesKnownAt.get(table) ?? -Infinity);
+        return this.options.clock.now() - (this.tableConfirmedAt.get(table) ?? -Infinity);
     }
 
-    /** Takes a gateway that the store's table names. */
+    /** Adds a gateway that is listed in the store's table. */
     learn(member: Member): void {
-        this.members.learn(member);
+        this.members.add(member);
     }
 
     /** Sends the next heartbeats. */
     beat(): void {
         const { clock, process, describe } = this.options;
-        this.peers.forgetGone();
-        this.digests.forgetGone();
-        this.members.forgetGone();
+        this.peers.removeExpired();
+        this.relayedSums.removeExpired();
+        this.members.removeExpired();
         this.chooseRelays();
-        const state = boundState(describe());
+        const state = truncateState(describe());
         this.sent.add({ sequence: ++this.sequence, sent: currentMoment(clock), state });
-        this.sumsOfOthers = undefined;
+        this.cachedOthers = undefined;
         if (this.isRelay) {
-            const near = this.sumNear(sumsOf(process, state));
-            this.tellHere(state, boundSums(addSums([near, this.sumFar()])));
-            this.relaysElsewhere().forEach(address => this.send(address, { near: boundSums(near) }));
+            const near = this.sumLocal(sumsOf(process, state));
+            this.sendLocal(state, truncateSums(addSums([near, this.sumRemote()])));
+            this.remoteRelays().forEach(address => this.send(address, { near: truncateSums(near) }));
         }
         else {
-            this.tellHere(state);
-            this.askersElsewhere().forEach(address => this.send(address, {}));
+            this.sendLocal(state);
+            this.remoteRelaysToAnswer().forEach(address => this.send(address, {}));
         }
         this.options.onSums?.(this.others);
     }
@@ -143,9 +146,12 @@
         this.relays = relays;
     }
 
-    /** Reports to the relays, and tells the sum to those that report here. Another relay adds everything up by itself. */
-    private tellHere(state: PeerState, whole?: GroupSums): void {
-        const reportedTo = new Set([...this.relays, ...this.triedHere()]);
+    /**
+     * Sends the own state to the relays, and the sum over all gateways to those that report to this process. Relays get
+     * no sum, because they compute it themselves.
+     */
+    private sendLocal(state: PeerState, whole?: GroupSums): void {
+        const reportedTo = new Set([...this.relays, ...this.localProbes()]);
         const addresses = new Set([...reportedTo, ...this.reporters().map(({ address }) => address)]);
         addresses.delete(this.options.own.address);
         for (const address of addresses) {
@@ -153,12 +159,12 @@
         }
     }
 
-    /** Takes a datagram. */
+    /** Handles a received datagram. */
     receive(datagram: string): void {
         const { own, logger } = this.options;
         const heartbeat = readHeartbeat(datagram);
         if (heartbeat === undefined) {
-            if (this.unreadable++ % unreadableLogged === 0) {
+            if (this.unreadable++ % unreadableLogInterval === 0) {
                 logger.warn({ bytes: datagram.length, unreadable: this.unreadable }, "unreadable datagram");
             }
             return;
@@ -166,43 +172,47 @@
         if (heartbeat.address === own.address) {
             return;
         }
-        const news = this.peers.hear(heartbeat);
-        if (news === "late") {
+        const relation = this.peers.receive(heartbeat);
+        if (relation === "late") {
             return;
         }
-        if (news === "new") {
+        if (relation === "new") {
             const { process: peer, incarnation, dataCentre } = heartbeat;
-            logger.info({ peer, incarnation, dataCentre }, "heard of");
+            logger.info({ peer, incarnation, dataCentre }, "peer discovered");
         }
         if (heartbeat.whole !== undefined) {
-            this.digests.hear(heartbeat);
+            this.relayedSums.receive(heartbeat);
         }
-        this.members.heard(heartbeat);
-        this.learnNamed(heartbeat);
-        this.sumsOfOthers = undefined;
-        this.takeWords(heartbeat);
+        this.members.markHeard(heartbeat);
+        this.addReportedMembers(heartbeat);
+        this.cachedOthers = undefined;
+        this.applyTableStatuses(heartbeat);
     }
 
     /**
-     * A relay names gateways of its own data centre that it hears, and to those that report to it also gateways elsewhere. Other
-     * relays take no names of gateways elsewhere from it: two that told each other would name one for ever that is gone.
+     * Adds the members that a relay reports: those of its own data centre and, if it is the relay of this process,
+     * those of other data centres as well. Relays do not accept third-party members from each other, since two of them
+     * could keep reporting a failed gateway to each other forever.
      */
-    private learnNamed({ dataCentre: sender, members, whole }: Heartbeat): void {
+    private addReportedMembers({ dataCentre: sender, members, whole }: Heartbeat): void {
         for (const [dataCentre, addresses] of Object.entries(members)) {
             if (whole !== undefined || dataCentre === sender) {
-                addresses.forEach(address => this.members.named({ address, dataCentre }));
+                addresses.forEach(address => this.members.markReported({ address, dataCentre }));
             }
         }
     }
 
-    /** A word counts from the heartbeat of this process that the peer had heard before: that one has a sure time. */
-    private takeWords({ words, echo }: Heartbeat): void {
+    /**
+     * Applies the table states in a heartbeat. They count from when this process sent the heartbeat that the peer
+     * echoes, since only that time is known for certain.
+     */
+    private applyTableStatuses({ words, echo }: Heartbeat): void {
         const echoed = this.echoed(echo);
-        for (const [table, word] of Object.entries(words)) {
-            const knownAt = this.options.clock.now() - word.age;
-            this.tablesKnownAt.set(table, Math.max(knownAt, this.tablesKnownAt.get(table) ?? -Infinity));
+        for (const [table, status] of Object.entries(words)) {
+            const knownAt = this.options.clock.now() - status.age;
+            this.tableConfirmedAt.set(table, Math.max(knownAt, this.tableConfirmedAt.get(table) ?? -Infinity));
             if (echoed !== undefined) {
-                this.options.onWord?.(table, word, echoed.sent);
+                this.options.onWord?.(table, status, echoed.sent);
             }
         }
     }
@@ -211,7 +221,7 @@
         return echo?.incarnation === this.options.incarnation ? this.sent.find(echo.sequence) : undefined;
     }
 
-    /** Peers of the own data centre that report to this process. */
+    /** Peers of the own data centre that report their state to this process. */
     private reporters(): Peer[] {
         return this.localPeers().filter(({ state }) => state !== undefined);
     }
@@ -220,67 +230,70 @@
         return this.peers.alive().filter(({ dataCentre }) => dataCentre === this.options.own.dataCentre);
     }
 
-    private peersElsewhere(): Peer[] {
+    private remotePeers(): Peer[] {
         return this.peers.alive().filter(({ dataCentre }) => dataCentre !== this.options.own.dataCentre);
     }
 
     /**
-     * Gateways that may be relays, while none is known, and all that the store's table named, once. Without the latter two
-     * groups of a data centre that had each found their relays never heard of each other, and took the duty from each other 150 times
-     * in 50 s of a played day.
+     * Members of the own data centre to probe: possible relays while none is known, and after the start all members
+     * from the store's table once. Without these introductions, two groups of one data centre with relays of their own
+     * never discovered each other, and took the duty from each other 150 times within 50 s of a simulated day.
      */
-    private triedHere(): readonly string[] {
+    private localProbes(): readonly string[] {
         const { own } = this.options;
-        if (this.sequence <= introductionBeats) {
-            return this.members.tryHere(introducedAtOnce);
+        if (this.sequence <= introductionHeartbeats) {
+            return this.members.nextLocalProbes(introductionBatch);
         }
-        if (this.isRelay && this.sequence % searchBeats === 0) {
-            return this.members.tryHere(1);
+        if (this.isRelay && this.sequence % probeInterval === 0) {
+            return this.members.nextLocalProbes(1);
         }
-        return this.relays.some(address => address !== own.address) ? [] : this.members.tryHere();
+        return this.relays.some(address => address !== own.address) ? [] : this.members.nextLocalProbes();
     }
 
-    /** Relays of the other data centres, heard or only named, and where none is heard, gateways that may tell of them. */
-    private relaysElsewhere(): string[] {
-        const relays = this.peersElsewhere().filter(({ near }) => near !== undefined);
+    /**
+     * Relays of the other data centres, known from their heartbeats or from reports. For a data centre from whose
+     * relays no heartbeat arrives, members that may know its relays.
+     */
+    private remoteRelays(): string[] {
+        const relays = this.remotePeers().filter(({ near }) => near !== undefined);
         const heard = new Set(relays.map(({ dataCentre }) => dataCentre));
-        const others = this.members.otherDataCentres.flatMap(dataCentre =>
-            heard.has(dataCentre) ? this.members.aliveIn(dataCentre) : this.members.tryElsewhere(dataCentre)
+        const others = this.members.remoteDataCentres.flatMap(dataCentre =>
+            heard.has(dataCentre) ? this.members.aliveIn(dataCentre) : this.members.nextRemoteProbes(dataCentre)
         );
         return [...new Set([...relays.map(({ address }) => address), ...others])];
     }
 
-    /** Relays of other data centres that took this process for a relay: an answer tells them which the relays are. */
-    private askersElsewhere(): string[] {
-        return this.peersElsewhere().filter(({ near }) => near !== undefined).map(({ address }) => address);
+    /** Relays of other data centres that took this process for a relay; the reply names the actual relays. */
+    private remoteRelaysToAnswer(): string[] {
+        return this.remotePeers().filter(({ near }) => near !== undefined).map(({ address }) => address);
     }
 
-    /** The sum over the own data centre as far as its gateways report here. */
-    private sumNear(self: GroupSums): GroupSums {
+    /** The sum over the gateways of the own data centre that report to this process. */
+    private sumLocal(self: GroupSums): GroupSums {
         const reports = this.reporters().flatMap(({ process, state }) =>
             state === undefined ? [] : sumsOf(process, state)
         );
         return addSums([self, ...reports]);
     }
 
-    /** The sum over the other data centres: of each the relay that hears the most gateways. */
-    private sumFar(): GroupSums {
+    /** The sum over the other data centres, with the sum of the relay that covers the most gateways for each. */
+    private sumRemote(): GroupSums {
         const ofDataCentre = new Map<string, GroupSums>();
-        for (const { dataCentre, near } of this.peersElsewhere()) {
-            ofDataCentre.set(dataCentre, largest([ofDataCentre.get(dataCentre) ?? nobody, near ?? nobody]));
+        for (const { dataCentre, near } of this.remotePeers()) {
+            ofDataCentre.set(dataCentre, largest([ofDataCentre.get(dataCentre) ?? emptySums, near ?? emptySums]));
         }
         return addSums([...ofDataCentre.values()]);
     }
 
-    /** What the other gateways told: by this process's own sums or those of a relay, whichever are over more gateways. */
+    /** The sum over the other gateways: the one of this process or of a relay, whichever covers the most gateways. */
     private sumOthers(): GroupSums {
-        const own = addSums([this.sumNear(nobody), this.sumFar()]);
-        const digests = this.digests.alive().sort((a, b) => b.heardAt - a.heardAt);
-        return largest([own, ...digests.map(digest => this.told(digest))]);
+        const own = addSums([this.sumLocal(emptySums), this.sumRemote()]);
+        const relayed = this.relayedSums.alive().sort((a, b) => b.heardAt - a.heardAt);
+        return largest([own, ...relayed.map(digest => this.told(digest))]);
     }
 
-    /** What a relay told of all gateways but this one. */
-    private told({ whole = nobody, echo }: Peer): GroupSums {
+    /** The sum that a relay sent, without the state of this process. */
+    private told({ whole = emptySums, echo }: Peer): GroupSums {
         const own = echo?.isCounted === true ? this.echoed(echo) : undefined;
         return own === undefined ? whole : withoutMember(whole, own.state);
     }
@@ -301,22 +314,26 @@
             },
             words: words(),
             ...parts,
-            members: this.namedTo(receiver),
+            members: this.membersFor(receiver),
         };
         this.options.send(address, writeHeartbeat(heartbeat));
     }
 
-    /** A relay names gateways of its data centre, and to those also relays of one other data centre after the other. */
-    private namedTo(receiver: Peer | undefined): Record<string, string[]> {
+    /**
+     * The members to report to a receiver. A relay reports gateways of its data centre, and to receivers there also the
+     * relays of one other data centre, in rotation. Other gateways report only their relays, and only to other data
+     * centres.
+     */
+    private membersFor(receiver: Peer | undefined): Record<string, string[]> {
         const { dataCentre } = this.options.own;
         const isElsewhere = receiver !== undefined && receiver.dataCentre !== dataCentre;
         if (!this.isRelay) {
             return isElsewhere ? { [dataCentre]: [...this.relays] } : {};
         }
-        const others = this.members.otherDataCentres;
+        const others = this.members.remoteDataCentres;
         const other = isElsewhere ? undefined : others[this.sequence % Math.max(1, others.length)];
         return {
-            [dataCentre]: [...this.members.heardHere],
+            [dataCentre]: [...this.members.heardLocal],
             ...other === undefined ? {} : { [other]: [...this.members.aliveIn(other)] },
         };
     }
--- a/packages/gateway/src/lib/peers/PeerGroup.ts
+++ b/packages/gateway/src/lib/peers/PeerGroup.ts
@@ -9,7 +9,7 @@
 import { type GroupSums } from "./GroupSums.js";
 import { PeerExchange, type PeerExchangeOptions } from "./PeerExchange.js";
 
-/** A row of the table of members. */
+/** A row of the member table. */
 const memberSchema = z.object({ host: z.string(), port: z.number(), dataCentre: z.string() });
 
 /** Options of {@link PeerGroup}. */
@@ -28,19 +28,19 @@
 const membersTable = "gateways";
 /** Milliseconds between two heartbeats. */
 const heartbeatInterval = 200;
-/** Milliseconds between two tries to enter the table of members. */
-const joinRetry = 500;
+/** Milliseconds between attempts to join the group. */
+const joinRetryDelay = 500;
 /**
- * Milliseconds between two reads of the table by a process that hears nobody of its data centre: all that it knew there may have
- * been replaced.
+ * Milliseconds between reads of the member table while no other gateway of the own data centre is alive: all gateways
+ * known there may have been replaced.
  */
 const rejoinInterval = 10_000;
-/** Milliseconds over which gateways enter the table again that the store has lost, so that they do not crowd it. */
-const enterSpread = 2_000;
+/** Milliseconds over which gateways spread their writes to the member table after a restore of the store. */
+const registrationSpread = 2_000;
 
 /**
- * The gateways of a site as one of them sees them. They find each other through a table of the store, once at the start,
- * and then tell each other by datagrams what they believe.
+ * The group of gateways of a site, as seen by one of them. Gateways discover each other at the start through a table of
+ * the store, and then exchange their state in datagrams.
  */
 export class PeerGroup {
     private readonly socket: Socket = createSocket("udp4");
@@ -67,32 +67,32 @@
         });
     }
 
-    /** How many gateways share what the site may spend, this one included; infinite until the group is known. */
+    /** The number of gateways that share the site's budget, including this one; infinite until the group is known. */
     get groupSize(): number {
         return this.size.value;
     }
 
-    /** What all other gateways told of themselves. */
+    /** The aggregated state of all other gateways. */
     get others(): GroupSums {
         return this.exchange.others;
     }
 
-    /** Requests of all other gateways in flight on chains that begin at a target. */
+    /** Number of requests of all other gateways in flight on chains that begin at a target. */
     chainLoad(headId: string): number {
         return this.exchange.others.chainLoads[headId] ?? 0;
     }
 
-    /** Milliseconds since any peer that was heard here surely knew a table as it was. */
+    /** Milliseconds since the latest moment to which any peer has confirmed the state of a table. */
     tableAge(table: string): number {
         return this.exchange.tableAge(table);
     }
 
-    /** Whether this process adds up what others of its data centre report. */
+    /** Whether this process aggregates the reports of other gateways of its data centre. */
     get isRelay(): boolean {
         return this.exchange.isRelay;
     }
 
-    /** Whether gateways that are no relays report to it. */
+    /** Whether gateways that are not relays report to this process. */
     get hasFollowers(): boolean {
         return this.exchange.hasFollowers;
     }
@@ -103,8 +103,8 @@
         this.socket.on("error", (error: Error) => logger.warn({ error: error.message }, "socket failed"));
         await new Promise<void>(resolve => this.socket.bind(address.port, address.host, resolve));
         logger.info({ address }, "listening");
-        this.beat();
-        this.stopListening = this.options.eras.onRise(() => this.enterAgain());
+        this.sendHeartbeats();
+        this.stopListening = this.options.eras.onRise(() => this.registerAgain());
         void this.join();
     }
 
@@ -115,36 +115,39 @@
     }
 
     /**
-     * Enters this process in the table of members, and only then reads who else is there: of two that start together,
-     * the later writer sees the earlier one, and its heartbeats tell the other.
+     * Writes this process to the member table and only then reads the other members: if two processes start together,
+     * the one that writes later reads the other's row and introduces itself with its heartbeats.
      */
     private async join(): Promise<void> {
         while (!this.isStopped) {
-            await this.enterTable();
+            await this.register();
             if (await this.readMembers()) {
                 this.size.join(this.exchange.knownMembers + 1);
                 this.options.logger.info({ members: this.exchange.knownMembers }, "joined");
                 return;
             }
-            await this.pause(joinRetry);
+            await this.pause(joinRetryDelay);
         }
     }
 
-    /** A copy that the store went back to may lack this process, and those that start later learn of it there. */
-    private enterAgain(): void {
+    /**
+     * Writes this process to the member table again after a restore of the store: the copy may lack its row, through
+     * which gateways that start later discover it.
+     */
+    private registerAgain(): void {
         const { clock, random } = this.options;
-        clock.schedule(() => void this.enterTable(), random.next() * enterSpread);
+        clock.schedule(() => void this.register(), random.next() * registrationSpread);
     }
 
-    private async enterTable(): Promise<void> {
+    private async register(): Promise<void> {
         let expectedVersion = 0;
         while (!this.isStopped) {
-            const written = await this.enter(expectedVersion);
+            const written = await this.writeMember(expectedVersion);
             if (written.kind === "written") {
                 return;
             }
             expectedVersion = written.kind === "conflict" ? written.rows[0]?.version ?? 0 : expectedVersion;
-            await this.pause(joinRetry);
+            await this.pause(joinRetryDelay);
         }
     }
 
@@ -152,24 +155,24 @@
         return new Promise(resolve => void this.options.clock.schedule(resolve, duration));
     }
 
-    private enter(expectedVersion: number): Promise<WriteResult> {
+    private writeMember(expectedVersion: number): Promise<WriteResult> {
         const { store, process, address, dataCentre } = this.options;
         return store.write({ table: membersTable, key: process, value: { ...address, dataCentre }, expectedVersion });
     }
 
-    /** @returns Whether the table could be read. */
+    /** @returns Whether the member table could be read. */
     private async readMembers(): Promise<boolean> {
         this.nextRead = this.options.clock.now() + rejoinInterval;
         const members = await this.options.store.read(membersTable);
         if (members.kind !== "read") {
             return false;
         }
-        members.rows.forEach(({ value }) => this.learnMember(value));
+        members.rows.forEach(({ value }) => this.addMember(value));
         return true;
     }
 
-    /** A row that is none, for instance of another version of this program, names no member. */
-    private learnMember(value: unknown): void {
+    /** Adds the member in a row. Invalid rows, for example from another version of this program, are ignored. */
+    private addMember(value: unknown): void {
         const member = memberSchema.safeParse(value);
         if (member.success) {
             const { host, port, dataCentre } = member.data;
@@ -177,22 +180,22 @@
         }
     }
 
-    private beat(): void {
+    private sendHeartbeats(): void {
         if (this.isStopped) {
             return;
         }
         const { clock } = this.options;
         this.exchange.beat();
         this.size.note(this.exchange.others.members + 1);
-        if (this.exchange.isAlone && clock.now() >= this.nextRead) {
+        if (this.exchange.isIsolated && clock.now() >= this.nextRead) {
             void this.readMembers();
         }
-        clock.schedule(() => this.beat(), heartbeatInterval);
+        clock.schedule(() => this.sendHeartbeats(), heartbeatInterval);
     }
 
     private send(to: string, datagram: string): void {
         const colon = to.lastIndexOf(":");
-        // A datagram that cannot be sent is lost like any other; the next one follows.
+        // A datagram that cannot be sent is not retried, since the next heartbeat follows.
         this.socket.send(datagram, Number(to.slice(colon + 1)), to.slice(0, colon), error => {
             if (error !== null) {
                 this.options.logger.warn({ error: String(error), peer: to }, "send failed");
--- a/packages/gateway/src/lib/peers/PeerState.ts
+++ b/packages/gateway/src/lib/peers/PeerState.ts
@@ -1,18 +1,18 @@
 import * as z from "zod/mini";
 
-/** What a gateway tells of itself, several times a second. */
+/** The state that a gateway reports several times a second. */
 export const peerStateSchema = z.object({
-    /** Ids of targets that seem lost to it. */
+    /** Ids of targets that the gateway suspects of having failed. */
     suspects: z.array(z.string()),
-    /** Targets whose own reports to it say that they are slow, by id. */
+    /** The slowdown of targets that report being slow, by the id of the target. */
     slowTargets: z.record(z.string(), z.number()),
-    /** Requests of this process in flight, by the first target of their chain. */
+    /** Number of requests of this gateway in flight, by the id of the first target of their chain. */
     chainLoads: z.record(z.string(), z.number()),
-    /** Targets that crashed under a request, by its digest. */
+    /** Number of targets that crashed while running a request, by the digest of the request. */
     crashes: z._default(z.record(z.string(), z.number()), {}),
-    /** The term under which it holds the placement duty; undefined when it does not, or the store has not confirmed it. */
+    /** The term under which the gateway holds the placement duty; undefined unless confirmed by the store. */
     dutyTerm: z.optional(z.number()),
-    /** Whether it could take the duty: it reaches the store, and is not stopping. */
+    /** Whether the gateway may take the placement duty: it can reach the store and is not stopping. */
     mayTakeDuty: z.boolean(),
 });
 
--- a/packages/gateway/src/lib/peers/SentHeartbeats.ts
+++ b/packages/gateway/src/lib/peers/SentHeartbeats.ts
@@ -1,23 +1,23 @@
 import { type Moment } from "../Moment.js";
 import { type PeerState } from "./PeerState.js";
 
-/** What this process said at one time. */
+/** A heartbeat that this process sent. */
 export interface SentHeartbeat {
     readonly sequence: number;
     readonly sent: Moment;
     readonly state: PeerState;
 }
 
-/** Heartbeats that are remembered: six seconds of them. An echo of an older one proves nothing that still matters. */
-const mostRemembered = 30;
+/** Maximum number of heartbeats to keep: six seconds of them. Echoes of older ones are too old to be useful. */
+const maxRemembered = 30;
 
-/** The last heartbeats of this process, by which echoes of its peers are understood. */
+/** The last heartbeats of this process, to match the echoes in its peers' heartbeats. */
 export class SentHeartbeats {
     private readonly recent: SentHeartbeat[] = [];
 
     add(heartbeat: SentHeartbeat): void {
         this.recent.push(heartbeat);
-        if (this.recent.length > mostRemembered) {
+        if (this.recent.length > maxRemembered) {
             this.recent.shift();
         }
     }
--- a/packages/gateway/src/lib/peers/heartbeat.ts
+++ b/packages/gateway/src/lib/peers/heartbeat.ts
@@ -2,7 +2,7 @@
 import { groupSumsSchema } from "./GroupSums.js";
 import { peerStateSchema } from "./PeerState.js";
 
-const tableWordSchema = z.object({
+const tableStatusSchema = z.object({
     version: z.number(),
     seen: z.number(),
     age: z.number(),
@@ -11,32 +11,34 @@
 
 const heartbeatSchema = z.object({
     process: z.string(),
-    /** This start of the process. */
+    /** Identifies this incarnation of the process. */
     incarnation: z.string(),
     address: z.string(),
     dataCentre: z.string(),
-    /** Grows with each heartbeat of this start. */
+    /** Increases with each heartbeat of this incarnation. */
     sequence: z.number(),
-    /** The newest heartbeat of the receiver that the sender had heard: so the receiver knows that this was said after it. */
+    /**
+     * The newest heartbeat that the sender received from the receiver: it proves that this heartbeat was sent later.
+     */
     echo: z.optional(z.object({
         incarnation: z.string(),
         sequence: z.number(),
-        /** Whether `whole` holds what the receiver told in it. */
+        /** Whether `whole` includes the state that the receiver reported in that heartbeat. */
         isCounted: z.boolean(),
     })),
-    /** What the sender knows of tables of the store, by their names: see {@link TableWord}. */
-    words: z.record(z.string(), tableWordSchema),
-    /** What the sender tells of itself; for gateways of its data centre that add it up. */
+    /** The state of the store's tables as the sender knows it, by name: see {@link TableWord}. */
+    words: z.record(z.string(), tableStatusSchema),
+    /** The state of the sender; for relays of its data centre. */
     state: z.optional(peerStateSchema),
-    /** The sum over the sender's data centre, itself included; for relays of other data centres. */
+    /** The sum over the sender's data centre, including the sender; for relays of other data centres. */
     near: z.optional(groupSumsSchema),
-    /** The sum over all gateways; for those that report to the sender. */
+    /** The sum over all gateways; for gateways that report to the sender. */
     whole: z.optional(groupSumsSchema),
-    /** Addresses of some gateways that live, by data centre. */
+    /** Addresses of some live gateways, by data centre. */
     members: z.record(z.string(), z.array(z.string())),
 });
 
-/** What gateways send each other. @public */
+/** The message that gateways send to each other. @public */
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
 
 const messageSchema = z.object({
@@ -45,12 +47,12 @@
     params: heartbeatSchema,
 });
 
-/** A heartbeat as a JSON-RPC notification. */
+/** Serialises a heartbeat as a JSON-RPC notification. */
 export function writeHeartbeat(heartbeat: Heartbeat): string {
     return JSON.stringify({ jsonrpc: "2.0", method: "heartbeat", params: heartbeat });
 }
 
-/** @returns Undefined when the datagram is no heartbeat. */
+/** @returns Undefined if the datagram is not a valid heartbeat. */
 export function readHeartbeat(data: string): Heartbeat | undefined {
     try {
         return messageSchema.safeParse(JSON.parse(data)).data?.params;
--- a/packages/gateway/src/lib/peers/watchRole.ts
+++ b/packages/gateway/src/lib/peers/watchRole.ts
@@ -1,19 +1,20 @@
 import { type WatchRole } from "../store/TableWatch.js";
 
-/** What decides how a gateway follows the store. */
+/** The properties of a gateway that determine how it follows the store. */
 export interface WatchPosition {
-    /** It adds up what others of its data centre report. */
+    /** It aggregates the reports of other gateways of its data centre. */
     readonly isRelay: boolean;
-    /** Gateways that are no relays report to it. */
+    /** Gateways that are not relays report to it. */
     readonly hasFollowers: boolean;
-    /** It holds the placement duty, or did a moment ago. */
+    /** It holds the placement duty, or held it recently. */
     readonly hasDuty: boolean;
 }
 
 /**
- * How a gateway follows the store. The holder of the duty does so by itself, since it waits for a quiet list of targets before
- * its first plan, and what relays hand on comes in steps: with a plan for the part of 130 targets that was listed in between, chains
- * had room for 117 instead of 131 requests, and on a quiet day 0.85 was served (with processor time).
+ * Determines how a gateway follows the store. The holder of the placement duty polls the store itself: it waits until
+ * the list of targets is stable before its first plan, and the reports of relays bring the list in steps. With a plan
+ * for the part of 130 targets that had been listed by then, chains had capacity for 117 instead of 131 requests, and
+ * 0.85 of the requests of a day without faults were served (simulation with processor time).
  */
 export function watchRole({ isRelay, hasFollowers, hasDuty }: WatchPosition): WatchRole {
     if (hasFollowers) {
