--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * An HTTP gateway to targets that run a chain of layer ranges by themselves, and to plain services.
+ * An HTTP gateway for model services, whose targets form chains of layer ranges and forward requests along them
+ * themselves, and for plain services.
  *
  * @packageDocumentation
  */
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -36,14 +36,14 @@
 import { type TableWatch, type TableWord, type WatchRole } from "./store/TableWatch.js";
 import { refusesConnections } from "./upstream/refusesConnections.js";
 
-/** Where the platform keeps what the gateway reads, and how it is read. */
+/** The store's tables and keys that the gateway reads, and the decoders for their documents. */
 export interface PlatformTables {
     readonly configurationTable: string;
     readonly configurationKey: string;
     readonly targetTable: string;
-    /** @throws Error when the document is no configuration. */
+    /** @throws Error when the document is not a valid configuration. */
     decodeConfiguration(document: unknown): Configuration;
-    /** Never throws: any document may stand there. */
+    /** Never throws, since the table may hold any document. */
     decodeTarget(id: string, document: unknown): DecodedTarget;
 }
 
@@ -52,7 +52,7 @@
     readonly settings: GatewaySettings;
     readonly clock: Clock;
     readonly random: Random;
-    /** A name for this start of the process. */
+    /** A unique id of this start of the process. */
     readonly incarnation: string;
     readonly store: Store;
     readonly tables: PlatformTables;
@@ -60,25 +60,32 @@
     readonly engines: EngineControl;
     readonly logs: Logs;
     readonly registry: MetricRegistry;
-    /** A server that listens for callers already; connections wait for the gateway to take it over. */
+    /** A server that already listens for callers; its connections wait until the gateway takes it over. */
     readonly callerListener?: Server;
-    /** Mechanisms to run without; all are on by default. */
+    /** Which mechanisms are on; all by default. */
     readonly isOn?: MechanismSwitch;
-    /** Milliseconds from the request to stop until the balancer has surely taken this process out. */
+    /** Milliseconds from the stop request until the load balancer is sure to have removed this process. */
     readonly balancerDelay?: number;
 }
 
-/** Of the bound on keys, milliseconds left for a request on its way. */
+/** Milliseconds of the key revocation bound that are reserved for requests in flight. */
 const revocationSlack = 400;
-/** The balancer asks once a second and takes a process out after two misses; the rest is for connections on their way. */
+/**
+ * Milliseconds. The load balancer probes once a second and removes a process after two failed probes; the rest is for
+ * connections that are being opened.
+ */
 const defaultBalancerDelay = 2_600;
-/** Milliseconds before the end of the grace at which what is left is broken off. */
+/** Milliseconds before the end of the grace period at which the remaining requests are aborted. */
 const stopSlack = 400;
-const stopCheck = 50;
-/** Bytes of a body that are taken before any limit is known: such a request is refused as not run, whatever its size. */
-const unknownBodyLimit = 8_388_608;
+/** Milliseconds between two checks for open requests while the process stops. */
+const stopCheckInterval = 50;
+/**
+ * Largest request body in bytes before a configuration sets a limit. Without a configuration a request is refused as
+ * not run, whatever its size.
+ */
+const defaultBodyLimit = 8_388_608;
 
-/** A process that takes callers' requests and passes them to targets. */
+/** A gateway process, which accepts callers' requests and forwards them to targets. */
 export class Gateway {
     private readonly observation: Observation;
     private readonly eras = new StoreEras();
@@ -95,9 +102,9 @@
     private readonly peers: PeerGroup;
     private readonly lease: PlacementLease;
     private readonly duty: PlacementDuty;
-    /** By the name of the table. */
+    /** By table name. */
     private readonly watches: ReadonlyMap<string, TableWatch>;
-    private knowsTargets = false;
+    private hasTargetList = false;
     private readonly contact: StoreContact;
     private isStopping = false;
     private refusesNewRequests = false;
@@ -115,7 +122,7 @@
             clock,
             maxConfirmationAge: keyRevocation === undefined ? undefined : keyRevocation - revocationSlack,
         });
-        this.directory = new TargetDirectory({ clock, onChange: change => this.noteTarget(change) });
+        this.directory = new TargetDirectory({ clock, onChange: change => this.handleTargetChange(change) });
         this.suspicions = new TargetSuspicions(clock);
         this.paces = new TargetPaces(clock);
         this.crashes = new CrashParts({
@@ -141,7 +148,7 @@
         });
         this.startQueue = new StartQueue({
             clock,
-            isReady: () => this.knowsEnough || !isOn("start-queue"),
+            isReady: () => this.hasRoutingData || !isOn("start-queue"),
             onRequest: request => router.handle(request),
         });
         this.callers = new CallerServer({
@@ -150,7 +157,7 @@
             onRequest: request =>
                 this.refusesNewRequests ? router.refuseStopping(request) : this.startQueue.take(request),
             onTooLarge: response => writeRefusal(response, requestCodes.tooLarge, "the body is too large"),
-            maxBodyBytes: () => this.configuration.current?.limits.bodyBytes ?? unknownBodyLimit,
+            maxBodyBytes: () => this.configuration.current?.limits.bodyBytes ?? defaultBodyLimit,
         });
         this.readiness = new ReadinessServer(settings.readiness, () => this.isReady);
         this.peers = new PeerGroup({
@@ -174,7 +181,7 @@
                 mayTakeDuty: this.contact.isWhole && this.lease.mayAcquire && !this.isStopping,
             }),
             words: () => this.words,
-            onWord: (table, word, after) => this.hearWord(table, word, after),
+            onWord: (table, tableStatus, after) => this.receiveTableStatus(table, tableStatus, after),
             onSums: ({ slowTargets, crashes }) => {
                 this.paces.recordPeerReports(slowTargets);
                 this.crashes.counts.hear(crashes);
@@ -204,7 +211,7 @@
         this.watches = this.createWatches();
     }
 
-    /** Starts to listen, and to learn what is needed to serve. */
+    /** Starts to listen, to watch the store's tables and to exchange heartbeats with peers. */
     async start(): Promise<void> {
         const { logs, settings } = this.options;
         logs.process.info({ process: settings.process, dataCentre: settings.dataCentre }, "starting");
@@ -217,14 +224,14 @@
         logs.process.info({ callers: this.callers.address, readiness: this.readiness.address }, "listening");
     }
 
-    /** Where it listens, once it has started. */
+    /** The addresses that the gateway listens on, available after {@link Gateway.start}. */
     get addresses(): { readonly callers: AddressInfo; readonly readiness: AddressInfo; } {
         return { callers: this.callers.address, readiness: this.readiness.address };
     }
 
     /**
-     * Stops without cutting an answer off: leaves the balancer first, serves on until it has, then ends when the last
-     * answer has ended, or shortly before the grace is over. Further calls wait for the same end.
+     * Stops gracefully: fails readiness, serves requests until the load balancer has removed this process, then ends
+     * when the last answer has ended, or shortly before the grace period is over. Further calls wait for the same stop.
      */
     stop(): Promise<void> {
         this.stopped ??= this.stopOnce();
@@ -245,7 +252,7 @@
         const end = stoppedAt + settings.stopGrace - stopSlack;
         while (this.callers.openRequests > 0 && clock.now() < end) {
             this.callers.closeIdle();
-            await this.pause(stopCheck);
+            await this.pause(stopCheckInterval);
         }
         logs.process.info({ open: this.callers.openRequests, after: Math.round(clock.now() - stoppedAt) }, "stopped");
         this.watches.forEach(watch => watch.stop());
@@ -258,12 +265,12 @@
 
     private get isReady(): boolean {
         const { keyRevocation } = this.options.settings;
-        const mayServeKeys = keyRevocation === undefined || this.configuration.confirmationAge < keyRevocation;
-        return !this.isStopping && this.configuration.current !== undefined && this.knowsTargets && mayServeKeys;
+        const mayTrustKeys = keyRevocation === undefined || this.configuration.confirmationAge < keyRevocation;
+        return !this.isStopping && this.configuration.current !== undefined && this.hasTargetList && mayTrustKeys;
     }
 
-    private get knowsEnough(): boolean {
-        return this.configuration.current !== undefined && this.knowsTargets;
+    private get hasRoutingData(): boolean {
+        return this.configuration.current !== undefined && this.hasTargetList;
     }
 
     private get hasConfirmedPeer(): boolean {
@@ -279,7 +286,7 @@
     private createWatches(): ReadonlyMap<string, TableWatch> {
         const { store, eras } = this;
         const { clock, tables, logs, settings, isOn = allMechanisms } = this.options;
-        const ofStore = (table: string) => ({
+        const createWatchOptions = (table: string) => ({
             clock,
             store,
             eras,
@@ -289,7 +296,7 @@
             ...this.contact.listenersFor(table),
         });
         const configurationWatch = createConfigurationWatch({
-            ...ofStore(tables.configurationTable),
+            ...createWatchOptions(tables.configurationTable),
             key: tables.configurationKey,
             configurationTime: settings.configurationTime,
             decode: document => tables.decodeConfiguration(document),
@@ -301,20 +308,20 @@
             },
         });
         const targetWatch = createTargetWatch({
-            ...ofStore(tables.targetTable),
+            ...createWatchOptions(tables.targetTable),
             directory: this.directory,
             drainTime: settings.drainTime,
             decode: (id, document) => tables.decodeTarget(id, document),
             logger: logs.directory,
             onConfirmed: () => {
-                this.knowsTargets = true;
+                this.hasTargetList = true;
                 this.startQueue.release();
             },
         });
         return new Map([[tables.configurationTable, configurationWatch], [tables.targetTable, targetWatch]]);
     }
 
-    /** What peers are told of the tables that this process follows. */
+    /** The status of each watched table, as peers receive it. */
     private get words(): TableWords {
         const words = [...this.watches].flatMap(([table, { word }]) =>
             word === undefined ? [] : [[table, word] as const]
@@ -322,13 +329,13 @@
         return Object.fromEntries(words);
     }
 
-    private hearWord(table: string, word: TableWord, after: Moment): void {
+    private receiveTableStatus(table: string, tableStatus: TableWord, after: Moment): void {
         if (this.options.isOn?.("peer-confirmations") !== false) {
-            this.watches.get(table)?.hear(word, after);
+            this.watches.get(table)?.hear(tableStatus, after);
         }
     }
 
-    private noteTarget(change: DirectoryChange): void {
+    private handleTargetChange(change: DirectoryChange): void {
         const { kind, target, keptFor } = change;
         const { id, service, dataCentre, state, layers, startedAt } = target;
         this.options.logs.directory.info(
--- a/packages/gateway/src/lib/GatewaySettings.ts
+++ b/packages/gateway/src/lib/GatewaySettings.ts
@@ -4,32 +4,41 @@
     readonly port: number;
 }
 
-/** What the surroundings tell a gateway process. Times are in milliseconds. */
+/** The settings of a gateway process, as the platform gives them. Times are in milliseconds. */
 export interface GatewaySettings {
     /** The name of the process. */
     readonly process: string;
     readonly host: string;
     readonly dataCentre: string;
-    /** Ports that gateways may use among themselves, both ends included. */
+    /** Inclusive range of ports for traffic between gateways. */
     readonly internalPorts: { readonly first: number; readonly last: number; };
-    /** Where callers connect. */
+    /** Address that callers connect to. */
     readonly callers: Address;
-    /** Where the balancer asks whether to send callers here. */
+    /** Address that the load balancer probes for readiness. */
     readonly readiness: Address;
     readonly store: Address;
-    /** After so much time without trouble the platform holds this process to what it promises, leavings of targets included. */
+    /**
+     * Time without faults after which the platform's guarantees apply to this process, including that it knows of every
+     * target that was removed.
+     */
     readonly contactTime: number;
-    /** After the store has taken a target's leaving, requests may still reach it for so long. */
+    /** Time after the store has recorded a target's removal in which requests may still reach the target. */
     readonly drainTime: number;
-    /** After the store has taken a configuration it must be in force; undefined where the surroundings do not say. */
+    /**
+     * Time after the store has accepted a configuration until it must be in force; undefined if the platform sets no
+     * bound.
+     */
     readonly configurationTime: number | undefined;
-    /** From the request to stop until the process is killed. */
+    /** Time from the stop request until the process is killed. */
     readonly stopGrace: number;
-    /** After this time a credential that was taken away must not work; undefined where that holds only while in touch. */
+    /**
+     * Time after which a revoked credential must no longer work, even without contact to the store; undefined if that
+     * is required only during contact.
+     */
     readonly keyRevocation: number | undefined;
-    /** Repeats allowed for each request, in any window. */
+    /** Retries allowed for each request, in any {@link retryWindow}. */
     readonly retryShare: number;
     readonly retryWindow: number;
-    /** Repeats allowed beyond the share in any window, over all gateways together. */
+    /** Retries allowed beyond {@link retryShare} in any window, over all gateways together. */
     readonly retryReserve: number;
 }
--- a/packages/gateway/src/lib/Mechanisms.ts
+++ b/packages/gateway/src/lib/Mechanisms.ts
@@ -1,26 +1,27 @@
 /**
- * Mechanisms that a gateway can be run without, to measure what each is worth or to rule one out when a fault is traced. All
- * are on unless they are named. Rules that callers and targets rely on cannot be switched off.
+ * Optional mechanisms of a gateway, each with its description. One can be switched off to measure its effect, or to
+ * rule it out while a fault is traced. All are on by default. Rules that callers and targets rely on cannot be switched
+ * off.
  */
 const mechanismTable = {
-    "second-copies": "idle targets hold a second copy of ranges that are short of room or large",
-    "in-use-targets": "targets that requests are on give up no layers for a repair",
-    neighbours: "targets beside a gap take layers that they have memory for before idle targets do",
-    "shift-patience": "borders between ranges move only after a data centre was without a chain for a while",
-    "slow-targets": "chains and plans go round targets whose reports say that they are slow",
-    "mixed-chains": "chains between data centres while some have no whole one",
-    "chain-room": "chains with room for requests come before full ones",
-    "chain-surveys": "targets of a silent chain are asked for reports, and streams leave round a silent one",
-    "survey-intervals": "how soon a silent chain is looked at follows the intervals of its streams",
-    "stall-patience": "streams stay on a chain that is silent although its targets answer",
-    penalties: "a target that fails again and again is avoided for longer each time",
-    "resume-spread": "streams that broke off go on over chains on which few prompts wait",
-    "short-first": "of streams that broke off those with short prompts are read first",
-    "hedged-sends": "an idempotent request without a reply is sent to a second target near its latency target",
-    "second-attempts": "an idempotent request to a plain service is sent again after a failure",
-    "peer-confirmations": "a peer's word counts that the configuration is still the newest",
-    "shared-watches": "gateways that are no relays leave following the store's tables to those that are",
-    "start-queue": "requests wait for a moment for a process that has just started",
+    "second-copies": "idle targets hold a second copy of layer ranges that are large or short of capacity",
+    "in-use-targets": "targets with requests in flight give up no layers for a repair",
+    neighbours: "targets next to a gap take layers that they have memory for before idle targets do",
+    "shift-patience": "boundaries between layer ranges move only after a data centre was without a chain for some time",
+    "slow-targets": "chains and plans avoid targets whose reports show that they are slow",
+    "mixed-chains": "chains may span data centres while a data centre has no complete chain",
+    "chain-room": "chains with free capacity are preferred to full ones",
+    "chain-surveys": "targets of a silent chain are asked for reports, and streams avoid a target that does not answer",
+    "survey-intervals": "how soon a silent chain is checked depends on the event intervals of its streams",
+    "stall-patience": "streams stay on a chain that is silent while its targets answer",
+    penalties: "a target that fails repeatedly is avoided for longer each time",
+    "resume-spread": "interrupted streams resume on chains with few waiting prompts",
+    "short-first": "of interrupted streams those with short prompts are prefilled first",
+    "hedged-sends": "an idempotent request without a reply is sent to a second target near the route's latency target",
+    "second-attempts": "an idempotent request to a plain service is retried after a failure",
+    "peer-confirmations": "a peer may confirm that the configuration is still the newest",
+    "shared-watches": "gateways that are not relays rely on relays for changes of the store's tables",
+    "start-queue": "requests are queued briefly while the process loads its configuration and target list",
 } as const satisfies Readonly<Record<string, string>>;
 
 /** The name of a mechanism. @public */
@@ -29,16 +30,16 @@
 /** Whether a mechanism is on. @public */
 export type MechanismSwitch = (mechanism: Mechanism) => boolean;
 
-/** The switch of a process that runs with everything. */
+/** A {@link MechanismSwitch} with every mechanism on. */
 export const allMechanisms: MechanismSwitch = () => true;
 
-/** All names, and what each is for. @public */
+/** Lists each mechanism's name and description. @public */
 export function listMechanisms(): readonly (readonly [Mechanism, string])[] {
     return Object.entries(mechanismTable) as [Mechanism, string][];
 }
 
 /**
- * Reads the names of mechanisms to run without, separated by commas.
+ * Parses a comma-separated list of mechanisms to switch off.
  *
  * @throws Error when a name is unknown.
  * @public
@@ -47,7 +48,7 @@
     const off = new Set(names.split(",").map(name => name.trim()).filter(name => name !== ""));
     for (const name of off) {
         if (!Object.hasOwn(mechanismTable, name)) {
-            throw new Error(`no mechanism is named ${name}; there are ${Object.keys(mechanismTable).join(", ")}`);
+            throw new Error(`unknown mechanism ${name}; known mechanisms: ${Object.keys(mechanismTable).join(", ")}`);
         }
     }
     return mechanism => !off.has(mechanism);
--- a/packages/gateway/src/lib/Moment.ts
+++ b/packages/gateway/src/lib/Moment.ts
@@ -1,8 +1,9 @@
 import { type Clock } from "@waxwingspar/utils";
 
 /**
- * A moment on both clocks of a process. The monotonic clock never jumps, but stands still while a host is suspended; the
- * wall clock goes on meanwhile, but may be set. An age by whichever says more is never too young.
+ * A moment on both clocks of a process. The monotonic clock never jumps, but stops while the host is suspended; the
+ * wall clock continues during suspension, but may be adjusted. The larger of the two ages never understates the true
+ * age.
  */
 export interface Moment {
     /** Milliseconds on the monotonic clock. */
@@ -11,12 +12,12 @@
     readonly date: number;
 }
 
-/** The present moment. */
+/** Reads both clocks. */
 export function currentMoment(clock: Clock): Moment {
     return { now: clock.now(), date: clock.date().getTime() };
 }
 
-/** Milliseconds since a moment, at least. */
+/** Milliseconds since a moment, by the clock that shows more. */
 export function ageOf(moment: Moment, clock: Clock): number {
     const { now, date } = currentMoment(clock);
     return Math.max(now - moment.now, date - moment.date);
--- a/packages/gateway/src/lib/server/CallerServer.ts
+++ b/packages/gateway/src/lib/server/CallerServer.ts
@@ -3,7 +3,7 @@
 import { type CallerLimits } from "../configuration/Configuration.js";
 import { type Address } from "../GatewaySettings.js";
 
-/** A request with its whole body. */
+/** A request with its complete body. */
 export interface ReceivedRequest {
     readonly incoming: IncomingMessage;
     readonly response: ServerResponse;
@@ -13,21 +13,24 @@
 /** Options of {@link CallerServer}. */
 export interface CallerServerOptions {
     readonly address: Address;
-    /** A server that listens at the address already, whose connections this one takes over. */
+    /** A server that already listens at the address, whose connections this one takes over. */
     readonly listening?: Listener;
     readonly onRequest: (request: ReceivedRequest) => void;
     readonly onTooLarge: (response: ServerResponse) => void;
     readonly maxBodyBytes: () => number;
 }
 
-/** Larger headers are refused by Node with status 431. Operators set limits below this. */
+/** Bytes of headers above which Node refuses a request with status 431. Operators set lower limits. */
 const maxHeaderBytes = 65_536;
-/** Callers reuse a connection that is idle for up to four fifths of the limit; it is kept a little longer than that. */
+/**
+ * Milliseconds that an idle connection is kept beyond the configured idle timeout. Callers reuse connections that have
+ * been idle for up to four fifths of the timeout.
+ */
 const idleSlack = 1_000;
-/** How often Node looks for callers that are too slow with their headers, in milliseconds. */
+/** Milliseconds between Node's checks for connections that exceed the header timeout. */
 const checkInterval = 1_000;
 
-/** Takes callers' requests over HTTP, each with its whole body. */
+/** HTTP server for callers, which buffers the complete body of each request. */
 export class CallerServer {
     private readonly server: Server;
     private isStopping = false;
@@ -39,7 +42,7 @@
         this.server.requestTimeout = 0;
     }
 
-    /** Requests that have not ended. */
+    /** Number of requests that have not ended. */
     get openRequests(): number {
         return this.open;
     }
@@ -57,33 +60,33 @@
         });
     }
 
-    /** Where it listens. */
+    /** The address that the server listens on. */
     get address(): AddressInfo {
         return this.server.address() as AddressInfo;
     }
 
-    /** Applies what the operators declare for callers. */
+    /** Applies the operators' timeouts for callers. */
     applyLimits({ headerTimeout, idleTimeout }: CallerLimits): void {
         this.server.headersTimeout = headerTimeout;
         this.server.keepAliveTimeout = idleTimeout + idleSlack;
     }
 
-    /** From now on every answer ends its connection, so that callers move to other processes. */
+    /** Makes every further answer close its connection, so that callers move to other processes. */
     stopKeepingConnections(): void {
         this.isStopping = true;
     }
 
-    /** Stops listening. Connections that are open stay so until they are idle. */
+    /** Stops listening. Open connections are kept until they are idle. */
     close(): void {
         this.server.close();
     }
 
-    /** Closes connections on which no request is open, such as those whose answer began before the stop. */
+    /** Closes connections without an open request, such as those whose last answer began before the stop. */
     closeIdle(): void {
         this.server.closeIdleConnections();
     }
 
-    /** Closes whatever is left. */
+    /** Closes all connections, including those with open requests. */
     closeAll(): void {
         this.server.closeAllConnections();
     }
@@ -119,7 +122,7 @@
     }
 }
 
-/** @returns Undefined for a request that was sent without a body. */
+/** @returns Undefined if the request was sent without a body. */
 function joinBody(incoming: IncomingMessage, chunks: readonly Buffer[]): Buffer | undefined {
     const hasBody = incoming.headers["content-length"] !== undefined
         || incoming.headers["transfer-encoding"] !== undefined;
--- a/packages/gateway/src/lib/server/ReadinessServer.ts
+++ b/packages/gateway/src/lib/server/ReadinessServer.ts
@@ -5,11 +5,11 @@
 const ready = 200;
 const notReady = 503;
 
-/** Tells the balancer whether new callers should come here. */
+/** Answers the load balancer's probes with status 200 while the process accepts new callers, and 503 otherwise. */
 export class ReadinessServer {
     private readonly server: Server;
 
-    /** @param isReady - Asked at each question. */
+    /** @param isReady - Called at each probe. */
     constructor(private readonly listenAddress: Address, isReady: () => boolean) {
         this.server = createServer((_request, response) => {
             response.writeHead(isReady() ? ready : notReady, { "Content-Length": 0 });
@@ -17,7 +17,7 @@
         });
     }
 
-    /** Where it listens. */
+    /** The address that the server listens on. */
     get address(): AddressInfo {
         return this.server.address() as AddressInfo;
     }
