--- a/packages/gateway/src/lib/testing/CrashingSite.ts
+++ b/packages/gateway/src/lib/testing/CrashingSite.ts
@@ -9,59 +9,61 @@
 
 /** Options of {@link CrashingSite}. */
 export interface CrashingSiteOptions extends SimulatedGroupOptions {
-    /** Requests a second that crash nothing, over all gateways. */
+    /** Harmless requests per second, over all gateways. */
     readonly load?: number;
-    /** Different requests that crash each target which runs them. */
+    /** Number of distinct requests that crash every target which runs them. */
     readonly culprits?: number;
-    /** Targets that crash by themselves, in a minute. */
+    /** Spontaneous crashes of targets per minute. */
     readonly crashesPerMinute?: number;
 }
 
-/** What became of a caller's request, all its attempts together. */
+/** The outcome of a caller's request over all its attempts. */
 export interface CallerOutcome {
     readonly body: string;
     readonly isServed: boolean;
-    /** The answers that were no success. */
+    /** The unsuccessful answers. */
     readonly failures: readonly CallerFailure[];
 }
 
-/** An answer that was no success. */
+/** An unsuccessful answer. */
 export interface CallerFailure {
-    /** The numbered result, if the gateway gave one. */
+    /** The result code, if the gateway gave one. */
     readonly result: number | undefined;
-    /** Whether it told when to come back. */
+    /** Whether the answer has a `Retry-After` header. */
     readonly hasRetryAfter: boolean;
 }
 
 interface SiteGateway {
     readonly group: SimulatedGateway;
     readonly router: SimulatedRouter;
-    /** Answers that callers wait for. */
+    /** Answers in progress. */
     readonly answers: Set<SimulatedAnswer>;
 }
 
-/** Milliseconds after a crash at which the entry of the target is gone. */
-const lapse = 3_600;
-/** Bounds of the milliseconds after which its next start is listed. */
-const restart = { least: 4_000, most: 6_000 };
-/** A caller tries again once. */
+/** Milliseconds from a crash until the target's entry expires. */
+const entryExpiry = 3_600;
+/** Bounds of the milliseconds from a crash until the restarted target is listed. */
+const restartTime = { least: 4_000, most: 6_000 };
+/** A caller retries once. */
 const attempts = 2;
-/** Milliseconds between the visits of the caller of a culprit, in bursts. */
+/** Bounds of the milliseconds between two requests of a culprit's caller. */
 const culpritPause = { least: 100, most: 3_000 };
-/** Targets of the one chain that each data centre has. */
-const targetsOfChain = 2;
-const layersEach = 40;
+/** Targets of the single chain of each data centre. */
+const targetsPerChain = 2;
+const layersPerTarget = 40;
 
 /**
- * Gateways with the modules that decide where requests are sent, over targets that crash under certain requests and come back
- * some seconds later. Callers come to any gateway, and once more when they are not served; those of the culprits for ever.
+ * Simulated gateways, with the modules that decide where requests are sent, and targets that crash when they run
+ * certain requests ("culprits") and restart some seconds later. Callers choose gateways at random and retry once when
+ * they are not served; callers of culprits send their request again until the simulation ends.
  */
 export class CrashingSite {
     readonly group: SimulatedGroup;
     readonly store: WatchedTable;
     readonly outcomes: CallerOutcome[] = [];
-    /** When targets crashed under a culprit, and when a culprit reached a target, by its body. */
+    /** Times at which each culprit crashed a target, by request body. */
     readonly crashes = new Map<string, number[]>();
+    /** Times at which each request reached a target, by request body. */
     readonly arrivals = new Map<string, number[]>();
     private readonly targets: SimulatedTarget[] = [];
     private readonly gateways: SiteGateway[];
@@ -80,31 +82,31 @@
         this.random = seededRandom(seed + 500);
         this.gateways = this.group.gateways.map(gateway => this.createGateway(gateway));
         for (let dataCentre = 0; dataCentre < (options.dataCentres ?? 3); dataCentre++) {
-            for (let index = 0; index < targetsOfChain; index++) {
-                this.startTarget(`dc-${dataCentre}`, dataCentre * targetsOfChain + index, index);
+            for (let index = 0; index < targetsPerChain; index++) {
+                this.startTarget(`dc-${dataCentre}`, dataCentre * targetsPerChain + index, index);
             }
         }
     }
 
-    /** Lets the site run for some milliseconds under its load, and then until all callers have an answer. */
+    /** Runs under load for `duration` milliseconds, then for 5 s without new requests so that open ones can end. */
     async run(duration: number): Promise<void> {
         await this.group.runAsync(2_000);
-        this.nextRequest();
-        this.nextCrash();
+        this.scheduleRequest();
+        this.scheduleCrash();
         for (let culprit = 0; culprit < this.options.culprits; culprit++) {
-            this.visit(`culprit ${culprit}`);
+            this.sendCulprit(`culprit ${culprit}`);
         }
         await this.group.runAsync(duration);
         this.isOver = true;
         await this.group.runAsync(5_000);
     }
 
-    /** Does something so many milliseconds from now. */
+    /** Schedules an action `delay` milliseconds from now. */
     after(delay: number, action: () => void): void {
         this.group.clock.schedule(action, delay);
     }
 
-    /** Kills all gateways; they start again at once, and remember nothing. */
+    /** Kills all gateways and restarts them immediately without their state. */
     restartGateways(): void {
         const old = this.gateways.splice(0);
         old.forEach(gateway => this.kill(gateway));
@@ -132,8 +134,8 @@
             gateways: () => group.size.value,
         });
         const { chains, crashes, directory, suspicions } = router;
-        group.hear(others => crashes.counts.hear(others.crashes));
-        group.tell(() => ({
+        group.onPeerSums(others => crashes.counts.hear(others.crashes));
+        group.overrideState(() => ({
             crashes: crashes.counts.listSeen(),
             chainLoads: Object.fromEntries(chains.headLoads()),
             suspects: suspicions.listLost(),
@@ -144,28 +146,28 @@
 
     private startTarget(dataCentre: string, port: number, half: number): void {
         const { clock } = this.group;
-        const layers = { first: half * layersEach, end: (half + 1) * layersEach };
+        const layers = { first: half * layersPerTarget, end: (half + 1) * layersPerTarget };
         const target = { ...testTarget(`t${port}`, "small", layers, dataCentre), startedAt: clock.now() };
         const simulated = new SimulatedTarget({
             clock,
             random: this.random,
             target,
             crashesUnder: body => body.startsWith("culprit"),
-            onArrival: body => note(this.arrivals, body, clock.now()),
+            onArrival: body => recordTime(this.arrivals, body, clock.now()),
             onCrash: body => {
                 if (body !== undefined) {
-                    note(this.crashes, body, clock.now());
+                    recordTime(this.crashes, body, clock.now());
                 }
-                clock.schedule(() => this.eachDirectory(directory => directory.remove(target.id, 0)), lapse);
-                clock.schedule(() => this.startTarget(dataCentre, port, half), this.draw(restart));
+                clock.schedule(() => this.updateDirectories(directory => directory.remove(target.id, 0)), entryExpiry);
+                clock.schedule(() => this.startTarget(dataCentre, port, half), this.draw(restartTime));
             },
         });
         const known = this.targets.findIndex(other => other.target.port === target.port);
         this.targets.splice(known === -1 ? this.targets.length : known, known === -1 ? 0 : 1, simulated);
-        this.eachDirectory(directory => directory.put(target));
+        this.updateDirectories(directory => directory.put(target));
     }
 
-    private eachDirectory(change: (directory: TargetDirectory) => void): void {
+    private updateDirectories(change: (directory: TargetDirectory) => void): void {
         this.gateways.forEach(({ router }) => change(router.directory));
     }
 
@@ -177,18 +179,18 @@
         return found;
     }
 
-    private nextRequest(): void {
+    private scheduleRequest(): void {
         if (this.isOver || this.options.load === 0) {
             return;
         }
         const pause = -Math.log(1 - this.random.next()) * 1_000 / this.options.load;
         this.group.clock.schedule(() => {
-            void this.ask(`question ${this.requests++}`, attempts);
-            this.nextRequest();
+            void this.sendRequest(`question ${this.requests++}`, attempts);
+            this.scheduleRequest();
         }, Math.round(pause));
     }
 
-    private nextCrash(): void {
+    private scheduleCrash(): void {
         const { crashesPerMinute } = this.options;
         if (this.isOver || crashesPerMinute === 0) {
             return;
@@ -197,21 +199,21 @@
         this.group.clock.schedule(() => {
             const heads = this.targets.filter(({ isDown, target }) => !isDown && target.layers?.first === 0);
             heads[Math.floor(this.random.next() * heads.length)]?.crash();
-            this.nextCrash();
+            this.scheduleCrash();
         }, Math.round(pause));
     }
 
-    /** The caller of a culprit comes back for ever. */
-    private visit(body: string): void {
+    /** Sends a culprit's request, and again after each answer until the simulation ends. */
+    private sendCulprit(body: string): void {
         if (!this.isOver) {
-            this.ask(body, attempts, () => {
-                this.group.clock.schedule(() => this.visit(body), this.draw(culpritPause));
+            this.sendRequest(body, attempts, () => {
+                this.group.clock.schedule(() => this.sendCulprit(body), this.draw(culpritPause));
             });
         }
     }
 
-    /** One request of a caller, with its attempts. */
-    private ask(
+    /** Sends a caller's request through a random gateway and retries it while attempts are left. */
+    private sendRequest(
         body: string,
         left: number,
         onEnd: () => void = () => undefined,
@@ -234,7 +236,7 @@
                 onEnd();
                 return;
             }
-            this.group.clock.schedule(() => this.ask(body, left - 1, onEnd, all), 2);
+            this.group.clock.schedule(() => this.sendRequest(body, left - 1, onEnd, all), 2);
         });
     }
 
@@ -243,6 +245,6 @@
     }
 }
 
-function note(times: Map<string, number[]>, body: string, time: number): void {
+function recordTime(times: Map<string, number[]>, body: string, time: number): void {
     times.set(body, [...times.get(body) ?? [], time]);
 }
--- a/packages/gateway/src/lib/testing/RestoringSite.ts
+++ b/packages/gateway/src/lib/testing/RestoringSite.ts
@@ -23,48 +23,48 @@
     readonly gatewaysEach?: number;
 }
 
-/** One gateway's beliefs. */
+/** A simulated gateway with its view of the store. */
 export interface RestoringGateway {
     readonly group: SimulatedGateway;
     readonly configuration: ConfigurationInForce;
     readonly directory: TargetDirectory;
     readonly lease: PlacementLease;
-    /** Calls to the store so far. */
+    /** Number of calls to the store. */
     calls: number;
-    /** The store turns it away. */
+    /** Whether the store refuses its calls. */
     isCut: boolean;
-    /** Starts of targets that it knew to be gone. */
+    /** Incarnations of targets that it has seen removed. */
     readonly gone: Set<string>;
 }
 
 const configurationKey = "configuration";
 const limits = { headerBytes: 1, bodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
-/** The site's promises, in milliseconds. */
+/** The platform's bounds, in milliseconds. */
 const contactTime = 5_000;
 const configurationTime = 4_000;
 const drainTime = 4_000;
 const maxConfirmationAge = 4_600;
-/** Milliseconds within which operator and targets write again what a copy lacks. */
+/** Longest time in milliseconds until operator and targets rewrite rows that a restored copy lacks. */
 const rewriteTime = 2_000;
-/** How old a copy is, and for how long the store is away before it comes back from it, in milliseconds. */
+/** Bounds of the age of a copy when the store fails, and of the outage before the copy is restored, in milliseconds. */
 const copyAge = { least: 100, most: 4_000 };
-const awayTime = { least: 0, most: 1_500 };
+const outageTime = { least: 0, most: 1_500 };
 
 /**
- * Gateways that follow configuration and targets in a store that comes back from copies, while operators change the configuration and
- * its key, targets come and leave, gateways are cut off from the store, and the holder of the duty changes. Every version of the
- * configuration has a key of its own.
+ * Simulated gateways that watch configuration and targets in a store which is restored from copies, while operators
+ * change the configuration and its key, targets are added and removed, gateways lose contact to the store, and the
+ * holder of the placement lease changes. Every version of the configuration has its own key.
  */
 export class RestoringSite {
     readonly group: SimulatedGroup;
     readonly table: WatchedTable;
     readonly gateways: RestoringGateway[];
-    /** When each version of the configuration was acknowledged, on the clock. */
+    /** When the store acknowledged each version of the configuration. */
     readonly acknowledged: { readonly version: number; readonly at: number; }[] = [];
-    /** Targets that live, by id. */
+    /** Targets that are running, by id. */
     readonly living = new Map<string, Target>();
     private readonly random: Random;
-    /** What writers other than gateways wrote last, by key; undefined where they removed the row. */
+    /** The last value that operator or target wrote, by key; undefined if the row was removed. */
     private readonly writes = new Map<string, unknown>();
     private starts = 0;
 
@@ -79,24 +79,24 @@
         this.gateways = this.group.gateways.map(group => this.createGateway(group));
     }
 
-    /** The newest version that was acknowledged. */
+    /** The newest acknowledged version of the configuration. */
     get newestVersion(): number {
         return this.acknowledged.at(-1)?.version ?? 0;
     }
 
-    /** Calls of all gateways so far. */
+    /** Number of calls that all gateways have made to the store. */
     get calls(): number {
         return this.gateways.reduce((sum, { calls }) => sum + calls, 0);
     }
 
-    /** Does one thing that may happen, at random. */
+    /** Injects one random event. */
     disturb(): void {
         const actions = [
             () => this.changeConfiguration(),
             () => this.changeConfiguration(),
             () => this.startTarget(`t${Math.floor(this.random.next() * 8)}`),
-            () => this.leave(),
-            () => this.leave(),
+            () => this.removeTarget(),
+            () => this.removeTarget(),
             () => this.cutGateway(),
             () => this.drill(),
             () => this.drill(),
@@ -104,7 +104,7 @@
         actions[Math.floor(this.random.next() * actions.length)]?.();
     }
 
-    /** The operator writes another version, with another key. */
+    /** Writes the next version of the configuration, with a new key. */
     changeConfiguration(): void {
         const version = this.newestVersion + 1;
         const organisations = [{ name: "o", keys: [`key-${version}`], priority: 0 }];
@@ -113,7 +113,7 @@
         this.acknowledged.push({ version, at: this.group.clock.now() });
     }
 
-    /** The store is away for a moment, and comes back from a copy. */
+    /** Takes a copy of the store, and after a short outage restores it. */
     drill(): void {
         const { clock } = this.group;
         this.table.saveCopy();
@@ -123,11 +123,11 @@
                 this.table.restoreCopy();
                 this.table.setAway(false);
                 this.rewrite();
-            }, this.draw(awayTime));
+            }, this.draw(outageTime));
         }, this.draw(copyAge));
     }
 
-    /** What the copy lacks is written again by those who wrote it, the newest of each key, at different moments. */
+    /** Rewrites the newest value of each row that differs from the copy, each after a random delay. */
     private rewrite(): void {
         for (const [key, value] of this.writes) {
             if (this.table.value(key) !== value) {
@@ -151,7 +151,7 @@
         this.write(id, target);
     }
 
-    private leave(): void {
+    private removeTarget(): void {
         const ids = [...this.living.keys()];
         const id = ids[Math.floor(this.random.next() * ids.length)];
         if (id !== undefined && ids.length > 2) {
@@ -180,12 +180,12 @@
         const logs = silentLogs();
         const eras = new StoreEras();
         const observation = { logs, metrics: new GatewayMetrics(new MetricRegistry(clock)) };
-        const store = new EraStore({ store: this.pathOf(() => gateway), eras, observation });
+        const store = new EraStore({ store: this.createGatewayStore(() => gateway), eras, observation });
         const common = { clock, store, eras, contactTime, role: () => roleOf(group) };
         const configuration = new ConfigurationInForce({ clock, maxConfirmationAge });
         const directory = new TargetDirectory({
             clock,
-            onChange: ({ kind, target }) => this.noteTarget(gateway, kind, target),
+            onChange: ({ kind, target }) => this.recordRemoval(gateway, kind, target),
         });
         const lease = new PlacementLease({
             clock,
@@ -226,7 +226,7 @@
                     : { kind: "unusable", reason: "not a target" },
             logger: logs.directory,
         });
-        group.tell(() => ({
+        group.overrideState(() => ({
             dutyTerm: lease.isHeld ? lease.term : undefined,
             mayTakeDuty: lease.mayAcquire && !gateway.isCut,
         }));
@@ -236,8 +236,11 @@
         return gateway;
     }
 
-    /** One that lives and was given up, because a gateway could not see its entry return, is not gone. */
-    private noteTarget({ gone }: RestoringGateway, kind: DirectoryChange["kind"], target: Target): void {
+    /**
+     * Records removed incarnations. A running target may be dropped while its entry cannot be read; once it is added
+     * again it no longer counts as removed.
+     */
+    private recordRemoval({ gone }: RestoringGateway, kind: DirectoryChange["kind"], target: Target): void {
         const start = incarnationOf(target);
         if (kind === "removed") {
             gone.add(start);
@@ -247,17 +250,17 @@
         }
     }
 
-    /** The store as a gateway reaches it. */
-    private pathOf(gateway: () => RestoringGateway): Store {
+    /** The store as seen by one gateway, which may be cut off from it. */
+    private createGatewayStore(gateway: () => RestoringGateway): Store {
         const refused: StoreFailure = { kind: "unavailable", reason: "status 503" };
-        const through = <T>(call: () => Promise<T>): Promise<T | StoreFailure> => {
+        const callUnlessCut = <T>(call: () => Promise<T>): Promise<T | StoreFailure> => {
             gateway().calls++;
             return gateway().isCut ? Promise.resolve(refused) : call();
         };
         return {
-            read: () => through(() => this.table.read()),
-            watch: (name, after, wait) => through(() => this.table.watch(name, after, wait)),
-            write: change => through(() => this.table.write(change)),
+            read: () => callUnlessCut(() => this.table.read()),
+            watch: (name, after, wait) => callUnlessCut(() => this.table.watch(name, after, wait)),
+            write: change => callUnlessCut(() => this.table.write(change)),
         };
     }
 
--- a/packages/gateway/src/lib/testing/SimulatedAnswer.ts
+++ b/packages/gateway/src/lib/testing/SimulatedAnswer.ts
@@ -1,23 +1,24 @@
 import { EventEmitter } from "node:events";
 import { type ServerResponse } from "node:http";
 
-/** Takes what a gateway answers, in place of a connection to a caller. */
+/** Records a gateway's answer in place of a caller's connection. */
 export class SimulatedAnswer extends EventEmitter {
     statusCode = 0;
     headersSent = false;
     body = "";
-    /** Set once the answer has ended, or was broken off. */
+    /** Set once the answer has ended or was aborted. */
     isOver = false;
+    /** Set once the answer has ended without being aborted. */
     isWhole = false;
-    /** Whether the gateway told when to come back. */
+    /** Whether the answer has a `Retry-After` header. */
     hasRetryAfter = false;
 
-    /** As the gateway's code takes it. */
+    /** This object with the type that the gateway's code expects. */
     get response(): ServerResponse {
         return this as unknown as ServerResponse;
     }
 
-    /** The numbered result that the gateway gave, if it gave one. */
+    /** The result code in the body, if the gateway gave one. */
     get resultNumber(): number | undefined {
         return this.body.startsWith("{") ? (JSON.parse(this.body) as { readonly code: number; }).code : undefined;
     }
@@ -45,13 +46,13 @@
         this.finish();
     }
 
-    /** The connection is lost, as when the gateway is killed. */
+    /** Simulates the loss of the connection, as when the gateway is killed. */
     breakConnection(): void {
         this.emit("close");
         this.finish();
     }
 
-    /** Calls back when the answer is over, at once if it is already. */
+    /** Calls the listener when the answer is over, immediately if it already is. */
     whenOver(listener: () => void): void {
         if (this.isOver) {
             listener();
--- a/packages/gateway/src/lib/testing/SimulatedGroup.ts
+++ b/packages/gateway/src/lib/testing/SimulatedGroup.ts
@@ -14,15 +14,15 @@
     readonly seed?: number;
     /** Share of the datagrams that are lost. */
     readonly loss?: number;
-    /** Share of the datagrams that come twice. */
+    /** Share of the datagrams that are delivered twice. */
     readonly repeats?: number;
-    /** The longest time in milliseconds that a datagram is under way. */
+    /** Longest delivery time of a datagram in milliseconds. */
     readonly mostDelay?: number;
-    /** Gateways start at random within so many milliseconds. */
+    /** Milliseconds within which the gateways start, at random. */
     readonly startSpread?: number;
-    /** Each knows only those that stand before it, as when a site starts for the first time. */
+    /** Whether each gateway initially knows only those created before it, as at the first start of a site. */
     readonly startsFirst?: boolean;
-    /** The last part of the first address. */
+    /** Last octet of the first gateway's address. */
     readonly firstAddress?: number;
 }
 
@@ -38,19 +38,19 @@
     readonly dataCentre: string;
     readonly exchange: PeerExchange;
     readonly size: GroupSize;
-    /** What it tells of itself; tests change it. */
+    /** The state that its heartbeats carry; tests may change it. */
     state: PeerState;
-    /** Calls back with what the others tell. */
-    hear(listener: (others: GroupSums) => void): void;
-    /** Lets it tell, of itself, what holds at each heartbeat. */
-    tell(describe: () => Partial<PeerState>): void;
-    /** When the store told it the newest configuration last, on the group's clock. */
+    /** Sets the listener for the sums of the other gateways' states. */
+    onPeerSums(listener: (others: GroupSums) => void): void;
+    /** Sets a function whose result overrides parts of {@link state} at each heartbeat. */
+    overrideState(describe: () => Partial<PeerState>): void;
+    /** When the store last confirmed the newest configuration to it, on the group's clock. */
     confirmedAt: number | undefined;
-    /** The latest moment to which peers confirmed the configuration to it. */
+    /** The latest time as of which peers confirmed the configuration to it. */
     heardConfirmation: number;
-    /** Follows a table, if a test gives it one. */
+    /** Its watch of a table, if a test sets one. */
     watch?: TableWatch;
-    /** It neither sends nor takes anything. */
+    /** Whether it neither sends nor receives. */
     isDown: boolean;
     readonly startsAt: number;
     readonly received: Traffic;
@@ -61,7 +61,7 @@
 const table = "configurations";
 const uuidLength = 36;
 
-/** Gateways that tell each other of themselves over a network that loses, delays and repeats, on a manual clock. */
+/** Gateways that exchange heartbeats over a simulated network with loss, delay and duplication, on a manual clock. */
 export class SimulatedGroup {
     readonly clock = new ManualClock(1_000_000);
     readonly gateways: SimulatedGateway[] = [];
@@ -70,7 +70,7 @@
     isCut: (from: SimulatedGateway, to: SimulatedGateway) => boolean = () => false;
     private readonly options: Required<SimulatedGroupOptions>;
     private readonly random: Random;
-    private readonly underWay = new Map<number, (() => void)[]>();
+    private readonly inFlight = new Map<number, (() => void)[]>();
     private readonly byAddress = new Map<string, SimulatedGateway>();
 
     constructor(options: SimulatedGroupOptions = {}) {
@@ -96,7 +96,7 @@
         this.gateways.forEach((gateway, index) => this.introduce(gateway, startsFirst ? index : undefined));
     }
 
-    /** Adds a gateway, which knows all others from the store's table; none knows it. */
+    /** Adds a gateway. No gateway knows it yet, and it knows none until {@link SimulatedGroup.introduce}. */
     add(
         dataCentre: number,
         index: number,
@@ -111,10 +111,10 @@
         let listener: (others: GroupSums) => void = () => undefined;
         const gateway: SimulatedGateway = {
             name,
-            hear: newListener => {
+            onPeerSums: newListener => {
                 listener = newListener;
             },
-            tell: describeNow => {
+            overrideState: describeNow => {
                 describe = describeNow;
             },
             address,
@@ -135,8 +135,8 @@
                 logger: silentLogs().peers,
                 send: (to, datagram) => this.send(gateway, to, datagram),
                 describe: () => ({ ...gateway.state, ...describe() }),
-                words: () => this.wordsOf(gateway),
-                onWord: (name, word, after) => name === table ? noteWord(gateway, word, after) : undefined,
+                words: () => this.describeTables(gateway),
+                onWord: (name, word, after) => name === table ? recordConfirmation(gateway, word, after) : undefined,
                 onSums: others => {
                     gateway.size.note(others.members + 1);
                     listener(others);
@@ -148,7 +148,7 @@
         return gateway;
     }
 
-    /** Tells a gateway of the first so many others, like the store's table. */
+    /** Makes the first `count` gateways known to a gateway, as the store's table of members does. */
     introduce({ exchange, size }: SimulatedGateway, count = this.gateways.length): void {
         this.gateways.slice(0, count).forEach(({ address, dataCentre }) => exchange.learn({ address, dataCentre }));
         size.join(exchange.knownMembers + 1);
@@ -159,16 +159,16 @@
     }
 
     /**
-     * Lets time pass.
+     * Advances the clock and delivers datagrams and heartbeats.
      *
-     * @param check - Called after each tenth of a second.
+     * @param check - Called every 100 ms.
      */
     run(duration: number, check: () => void = () => undefined): void {
         for (let left = duration; left > 0; left--) {
             this.clock.advance(1);
             const now = this.clock.now();
-            this.underWay.get(now)?.forEach(deliver => deliver());
-            this.underWay.delete(now);
+            this.inFlight.get(now)?.forEach(deliver => deliver());
+            this.inFlight.delete(now);
             this.living
                 .filter(({ startsAt }) => (now - startsAt) % heartbeatInterval === 0)
                 .forEach(({ exchange }) => exchange.beat());
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Lets time pass like {@link SimulatedGroup.run}, and what awaits replies go on. */
+    /** Like {@link SimulatedGroup.run}, but lets pending promises settle every 10 ms. */
     async runAsync(duration: number, check?: () => void): Promise<void> {
         const step = 10;
         for (let left = duration; left > 0; left -= step) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Sets the counts of messages to zero. */
+    /** Resets the traffic counters. */
     resetTraffic(): void {
         for (const { received, sent } of this.gateways) {
             Object.assign(received, { messages: 0, bytes: 0 });
@@ -195,7 +195,7 @@
         }
     }
 
-    private wordsOf({ confirmedAt, heardConfirmation, watch }: SimulatedGateway): TableWords {
+    private describeTables({ confirmedAt, heardConfirmation, watch }: SimulatedGateway): TableWords {
         if (watch !== undefined) {
             return watch.word === undefined ? {} : { [table]: watch.word };
         }
@@ -225,14 +225,14 @@
                     receiver.exchange.receive(datagram);
                 }
             };
-            this.underWay.set(due, [...this.underWay.get(due) ?? [], deliver]);
+            this.inFlight.set(due, [...this.inFlight.get(due) ?? [], deliver]);
         }
     }
 }
 
-function noteWord(gateway: SimulatedGateway, word: TableWord, after: Moment): void {
-    gateway.watch?.hear(word, after);
-    gateway.heardConfirmation = Math.max(gateway.heardConfirmation, after.now - word.age);
+function recordConfirmation(gateway: SimulatedGateway, tableStatus: TableWord, after: Moment): void {
+    gateway.watch?.hear(tableStatus, after);
+    gateway.heardConfirmation = Math.max(gateway.heardConfirmation, after.now - tableStatus.age);
 }
 
 function count(traffic: Traffic, datagram: string): void {
--- a/packages/gateway/src/lib/testing/SimulatedRouter.ts
+++ b/packages/gateway/src/lib/testing/SimulatedRouter.ts
@@ -26,15 +26,15 @@
     readonly dataCentre: string;
     readonly store: Store;
     readonly targetAt: (port: number) => SimulatedTarget;
-    /** Requests of other gateways in flight on chains that begin at a target. */
+    /** Other gateways' requests in flight on chains whose head is the given target. */
     readonly peerLoad?: (headId: string) => number;
-    /** How many gateways share the reserve of the retry budget. */
+    /** Number of gateways that share the reserve of the retry budget. */
     readonly gateways?: () => number;
-    /** Repeats that all gateways together may send in ten seconds, beyond a fifth of their requests. */
+    /** Retries that all gateways together may send in ten seconds beyond a fifth of their requests. */
     readonly retryReserve?: number;
 }
 
-/** A route for streams that may go on over another chain. */
+/** A route for streams that may be resumed on another chain. */
 export const streamRoute: Route = {
     name: "chat",
     hostname: "a.example",
@@ -49,7 +49,7 @@
     isPublic: false,
 };
 
-/** Only refusals matter on the wire here. */
+/** A wire format that recognises only the simulated targets' refusals. */
 const wire: WireFormat = {
     readCallerRequest: () => {
         throw new Error("not used");
@@ -114,7 +114,7 @@
         };
     }
 
-    /** Takes a caller's request. */
+    /** Starts a caller's request. */
     start(body: string, route = streamRoute): SimulatedAnswer {
         const { clock } = this.options;
         const { observation } = this.context;
--- a/packages/gateway/src/lib/testing/SimulatedTarget.ts
+++ b/packages/gateway/src/lib/testing/SimulatedTarget.ts
@@ -7,9 +7,9 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly target: Target;
-    /** The bodies under which it crashes. */
+    /** Whether a request with this body crashes the target. */
     readonly crashesUnder: (body: string) => boolean;
-    /** It has crashed: under the request with the body, or by itself. */
+    /** Called after a crash, with the body of the request that caused it; undefined for a spontaneous crash. */
     readonly onCrash: (body: string | undefined) => void;
     readonly onArrival: (body: string) => void;
 }
@@ -20,24 +20,25 @@
     timer: Timer | undefined;
 }
 
-/** Milliseconds on the way from a gateway. */
+/** Network delay from a gateway in milliseconds. */
 const delay = 1;
-/** Bounds of the milliseconds until a request begins to run, as prompts of others are read before it. */
+/** Bounds of the milliseconds until a request begins to run, while other prompts are prefilled. */
 const wait = { least: 30, most: 130 };
-/** Bounds of the milliseconds from there to the crash. */
+/** Bounds of the milliseconds from the start of a run to its crash. */
 const crashTime = { least: 30, most: 100 };
+/** Milliseconds between two events of a stream. */
 const eventInterval = 24;
-/** Events of a whole answer. */
+/** Number of events of a complete answer. */
 export const simulatedEvents = 40;
-/** The status by which a target refuses a request that it has not run. */
+/** Status with which a target refuses a request without running it. */
 export const refusalStatus = 503;
 
-/** A target on the injected clock that streams events, and crashes soon after it begins to run certain requests. */
+/** A simulated target that streams events, and crashes shortly after it begins to run certain requests. */
 export class SimulatedTarget {
     isDown = false;
-    /** It turns new requests away. */
+    /** Whether it refuses new requests. */
     isRefusing = false;
-    /** It gives no reports, though it may run requests. */
+    /** Whether it withholds reports, though it may run requests. */
     isMute = false;
     private silentUntil = -Infinity;
     private readonly runs = new Set<Run>();
@@ -48,17 +49,17 @@
         return this.options.target;
     }
 
-    /** Whether it answers when it is asked for a report. */
+    /** Whether it answers calls for a report. */
     get givesReports(): boolean {
         return !this.isDown && !this.isMute;
     }
 
-    /** Says nothing more on any stream for some milliseconds, and then goes on. */
+    /** Pauses all streams for `duration` milliseconds. */
     fallSilent(duration: number): void {
         this.silentUntil = this.options.clock.now() + duration;
     }
 
-    /** Takes a request, like the constructor of a real exchange. */
+    /** Receives a request, in place of the constructor of a real exchange. */
     open({ body, listener }: ExchangeOptions): OpenExchange {
         const { clock, onArrival } = this.options;
         const run: Run = { body: body?.toString() ?? "", listener, timer: undefined };
@@ -90,7 +91,7 @@
         };
     }
 
-    /** Ends all runs in one moment, and refuses connections. */
+    /** Resets all runs at the same moment, and refuses connections from then on. */
     crash(body?: string): void {
         this.isDown = true;
         const cut = [...this.runs];
--- a/packages/gateway/src/lib/testing/StandingClock.ts
+++ b/packages/gateway/src/lib/testing/StandingClock.ts
@@ -1,11 +1,13 @@
 import { type Clock, ManualClock, type Timer } from "@waxwingspar/utils";
 
-/** A manual clock of a process that can stand still: time passes, and none of its timers runs. */
+/** A manual clock of a process that can stall: its time advances while none of its timers runs. */
 export class StandingClock implements Clock {
     private readonly manual = new ManualClock();
     private stoodStill = 0;
 
-    /** @param step - Milliseconds between two settlements of promises in {@link StandingClock.advanceAsync}. */
+    /**
+     * @param step - Milliseconds after which {@link StandingClock.advanceAsync} lets pending promises settle each time.
+     */
     constructor(private readonly step?: number) {}
 
     now(): number {
@@ -24,7 +26,7 @@
         return this.manual.advanceAsync(duration, this.step);
     }
 
-    /** Lets time pass in which the process neither runs timers nor reads. */
+    /** Simulates a stall of the process: advances the time without running timers. */
     stand(duration: number): void {
         this.stoodStill += duration;
     }
--- a/packages/gateway/src/lib/testing/StreamSite.ts
+++ b/packages/gateway/src/lib/testing/StreamSite.ts
@@ -9,28 +9,28 @@
 /** Options of {@link StreamSite}. */
 export interface StreamSiteOptions {
     readonly seed?: number;
-    /** Chains of four targets, each in a data centre of its own. */
+    /** Number of chains, each of four targets in its own data centre. */
     readonly chains?: number;
-    /** Targets that a request may be sent to. */
+    /** Number of targets that a request may be sent to. */
     readonly maxAttempts?: number;
-    /** Whether a stream may go on at another target. */
+    /** Whether a stream may be resumed on another chain. */
     readonly isResumable?: boolean;
-    /** Repeats that the retry budget allows beyond a fifth of the requests. */
+    /** Retries that the retry budget allows beyond a fifth of the requests. */
     readonly retryReserve?: number;
 }
 
-const targetsOfChain = 4;
-const layersEach = 20;
+const targetsPerChain = 4;
+const layersPerTarget = 20;
 
-/** One gateway over chains of targets that may fall silent or refuse but never crash, on a manual clock. */
+/** A simulated gateway with chains of targets that may fall silent or refuse requests but never crash. */
 export class StreamSite {
     readonly clock = new ManualClock(1_000_000);
     readonly random: Random;
-    /** The first target of each chain; that of the gateway's own data centre comes first. */
+    /** The first target of each chain. The chain of the gateway's own data centre comes first. */
     readonly heads: SimulatedTarget[] = [];
     readonly answers: SimulatedAnswer[] = [];
     readonly router: SimulatedRouter;
-    /** Requests that reached a target, each time. */
+    /** Number of times that a request reached a target, retries included. */
     arrivals = 0;
     private readonly byPort = new Map<number, SimulatedTarget>();
     private readonly route: Route;
@@ -48,7 +48,7 @@
         });
         for (let chain = 0; chain < chains; chain++) {
             this.heads.push(this.addTarget(chain, 0));
-            for (let part = 1; part < targetsOfChain; part++) {
+            for (let part = 1; part < targetsPerChain; part++) {
                 this.addTarget(chain, part);
             }
         }
@@ -58,12 +58,12 @@
         return [...this.byPort.values()];
     }
 
-    /** A caller asks for a stream. */
+    /** Starts a caller's stream. */
     open(): void {
         this.answers.push(this.router.start(`question ${this.answers.length}`, this.route));
     }
 
-    /** Answers that ended without all events, though they were begun or may have run. */
+    /** Answers that are neither complete nor refused as not run. */
     get cutOff(): SimulatedAnswer[] {
         return this.answers.filter(answer => !isServed(answer) && !isRefusedAsNotRun(answer));
     }
@@ -73,8 +73,8 @@
     }
 
     private addTarget(chain: number, part: number): SimulatedTarget {
-        const layers = { first: part * layersEach, end: (part + 1) * layersEach };
-        const target = testTarget(`t${chain * targetsOfChain + part}`, "large", layers, `dc-${chain}`);
+        const layers = { first: part * layersPerTarget, end: (part + 1) * layersPerTarget };
+        const target = testTarget(`t${chain * targetsPerChain + part}`, "large", layers, `dc-${chain}`);
         const simulated = new SimulatedTarget({
             clock: this.clock,
             random: this.random,
@@ -99,7 +99,7 @@
 
 const wholeBody = Array.from({ length: simulatedEvents }, (_, id) => `id: ${id}\ndata: x\n\n`).join("");
 
-/** Every event came, once and in order. */
+/** Whether every event arrived exactly once and in order. */
 function isServed({ statusCode, isWhole, body }: SimulatedAnswer): boolean {
     return statusCode === 200 && isWhole && body === wholeBody;
 }
--- a/packages/gateway/src/lib/testing/WatchedTable.ts
+++ b/packages/gateway/src/lib/testing/WatchedTable.ts
@@ -19,14 +19,14 @@
     readonly answer: (changes: Changes) => void;
 }
 
-/** Milliseconds from a call to its answer, as the platform's sheet gives them. */
+/** Milliseconds from a call to its answer, according to the platform's data sheet. */
 const answerTime = 5;
-/** Milliseconds after which a read or write without an answer is given up. */
+/** Timeout of a read or write in milliseconds. */
 const callTimeout = 1_000;
 
 /**
- * One table of a store on a clock, for tests of what follows it. Answers can be lost: to calls under way when their
- * connections fall silent, and to all calls while the store is away.
+ * A simulated store with one table, for tests of code that watches it. Calls time out if their connections fall silent
+ * while they are in flight, or while the store is down.
  */
 export class WatchedTable implements Store {
     private readonly rows = new Map<string, StoredRow>();
@@ -56,27 +56,27 @@
         }
     }
 
-    /** Other tables change, which counts the store's version up. */
+    /** Simulates changes of other tables, which raise the store's version. */
     changeOthers(count: number): void {
         this.version += count;
     }
 
-    /** Every connection falls silent: calls under way get no answer, later ones go over new connections. */
+    /** Makes every connection fall silent: calls in flight get no answer, later ones use new connections. */
     silenceConnections(): void {
         this.waiting.clear();
     }
 
-    /** The value of a row as it is now. */
+    /** The current value of a row. */
     value(key: string): unknown {
         return this.rows.get(key)?.value;
     }
 
-    /** Makes the copy that {@link WatchedTable.restoreCopy} goes back to. */
+    /** Saves the copy that {@link WatchedTable.restoreCopy} restores. */
     saveCopy(): void {
         this.copy = { rows: [...this.rows.values()], version: this.version };
     }
 
-    /** Goes back to the copy: what was written since is gone, its versions are given out again, and open calls get no answer. */
+    /** Restores the copy: later writes are lost, their versions are reused, and calls in flight get no answer. */
     restoreCopy(): void {
         const { rows, version } = this.copy;
         this.era++;
@@ -87,7 +87,7 @@
         this.silenceConnections();
     }
 
-    /** The store goes away, with the connections, or is back. */
+    /** Stops or restarts the store. Calls in flight get no answer. */
     setAway(isAway: boolean): void {
         this.isAway = isAway;
         this.silenceConnections();
@@ -144,16 +144,16 @@
         };
     }
 
-    /** A call that is given up after `timeout` milliseconds unless it is answered. */
+    /** Simulates a call that fails after `timeout` milliseconds unless it is answered. */
     private call<T>(timeout: number, receive: (answer: (reply: T) => void) => void): Promise<T | StoreFailure> {
         return new Promise(resolve => {
-            const giveUp: Timer = this.clock.schedule(() => resolve({ kind: "unknown", reason: "timeout" }), timeout);
+            const timer: Timer = this.clock.schedule(() => resolve({ kind: "unknown", reason: "timeout" }), timeout);
             if (this.isAway) {
                 return;
             }
             receive(reply => {
                 this.clock.schedule(() => {
-                    giveUp.cancel();
+                    timer.cancel();
                     resolve(reply);
                 }, answerTime);
             });
--- a/packages/gateway/src/lib/testing/fixtures.ts
+++ b/packages/gateway/src/lib/testing/fixtures.ts
@@ -4,7 +4,7 @@
 import { type LayerRange, type Target } from "../directory/Target.js";
 import { type Logs } from "../observation/Observation.js";
 
-/** An engine for tests: 80 layers, on three kinds of accelerators. */
+/** An engine for tests, with 80 layers and three kinds of accelerators. */
 export const testEngine: Engine = {
     model: "m",
     layers: 80,
@@ -23,13 +23,13 @@
     ],
 };
 
-/** Creates a target of a service "model". */
+/** Creates a target of the service "model". */
 export function testTarget(id: string, accelerator: string, layers?: LayerRange, dataCentre = "x"): Target {
     const port = 1_000 + Number(id.replaceAll(/\D/g, "") || 0);
     return { id, service: "model", host: "127.0.0.1", port, dataCentre, state: "ready", accelerator, layers };
 }
 
-/** The report of a target that has nothing to complain of. */
+/** The report of a healthy target. */
 export const wellReport: EngineReport = {
     isBusy: false,
     orders: 1,
@@ -40,7 +40,7 @@
     stalledBy: [],
 };
 
-/** Logs of all parts that nobody sees. */
+/** Loggers of all modules that discard everything. */
 export function silentLogs(): Logs {
     const logger = createLogger({ level: "silent" });
     return {
--- a/packages/gateway/src/lib/testing/index.ts
+++ b/packages/gateway/src/lib/testing/index.ts
@@ -1,5 +1,5 @@
 /**
- * What tests of other packages share.
+ * Test helpers for other packages.
  *
  * @packageDocumentation
  */
