--- a/packages/gateway/src/lib/testing/RestoringSite.ts
+++ b/packages/gateway/src/lib/testing/RestoringSite.ts
@@ -16,7 +16,7 @@
 import { type SimulatedGateway, SimulatedGroup } from "./SimulatedGroup.js";
 import { WatchedTable } from "./WatchedTable.js";
 
-/** Options of {@link RestoringSite}. */
+/** Options of {@link RestoredStoreSite}. */
 export interface RestoringSiteOptions {
     readonly seed: number;
     readonly dataCentres?: number;
--- a/packages/gateway/src/lib/testing/WatchedTable.ts
+++ b/packages/gateway/src/lib/testing/WatchedTable.ts
@@ -88,8 +88,8 @@
     }
 
     /** Stops or restarts the store. Calls in flight get no answer. */
-    setAway(isAway: boolean): void {
-        this.isAway = isAway;
+    setAway(isDown: boolean): void {
+        this.isAway = isDown;
         this.silenceConnections();
     }
 
