--- a/packages/cli/src/lib/gateway/runGateway.ts
+++ b/packages/cli/src/lib/gateway/runGateway.ts
@@ -1,4 +1,11 @@
-import { type Address, Gateway, LogDestination, type Logs, MetricsServer, switchOff } from "@waxwingspar/gateway";
+import {
+    type Address,
+    Gateway,
+    LogDestination,
+    type Logs,
+    MetricsServer,
+    parseDisabledMechanisms,
+} from "@waxwingspar/gateway";
 import {
     decodeConfiguration,
     decodeTarget,
@@ -54,7 +61,7 @@
         logs,
         registry,
         callerListener: options.callerListener,
-        isOn: switchOff(options.without ?? ""),
+        isOn: parseDisabledMechanisms(options.without ?? ""),
     });
     const stopped = stopOnSignal(logs, () => gateway.stop());
     process.on("SIGHUP", () => reloadSettings(logs, options.environment ?? process.env));
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -24,7 +24,7 @@
 export { type DecodedTarget } from "./lib/directory/TargetList.js";
 export { Gateway, type GatewayOptions, type PlatformTables } from "./lib/Gateway.js";
 export { type Address, type GatewaySettings } from "./lib/GatewaySettings.js";
-export { listMechanisms, type Mechanism, type MechanismSwitch, switchOff } from "./lib/Mechanisms.js";
+export { listMechanisms, type Mechanism, type MechanismSwitch, parseDisabledMechanisms } from "./lib/Mechanisms.js";
 export { LogDestination, type LogDestinationOptions } from "./lib/observation/LogDestination.js";
 export { GatewayMetrics, type Logs } from "./lib/observation/Observation.js";
 export {
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -15,7 +15,7 @@
 import { PlacementDuty } from "./duty/PlacementDuty.js";
 import { PlacementLease } from "./duty/PlacementLease.js";
 import { type GatewaySettings } from "./GatewaySettings.js";
-import { allMechanisms, type MechanismSwitch } from "./Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "./Mechanisms.js";
 import { type Moment } from "./Moment.js";
 import { GatewayMetrics, type Logs, type Observation } from "./observation/Observation.js";
 import { type TableWords } from "./peers/PeerExchange.js";
@@ -133,7 +133,7 @@
             refusesConnections,
             observation,
         });
-        const { isOn = allMechanisms } = options;
+        const { isOn = allMechanismsOn } = options;
         const router = new RequestRouter({
             clock,
             isOn,
@@ -285,7 +285,7 @@
 
     private createWatches(): ReadonlyMap<string, TableWatch> {
         const { store, eras } = this;
-        const { clock, tables, logs, settings, isOn = allMechanisms } = this.options;
+        const { clock, tables, logs, settings, isOn = allMechanismsOn } = this.options;
         const createWatchOptions = (table: string) => ({
             clock,
             store,
--- a/packages/gateway/src/lib/Mechanisms.ts
+++ b/packages/gateway/src/lib/Mechanisms.ts
@@ -31,7 +31,7 @@
 export type MechanismSwitch = (mechanism: Mechanism) => boolean;
 
 /** A {@link MechanismSwitch} with every mechanism on. */
-export const allMechanisms: MechanismSwitch = () => true;
+export const allMechanismsOn: MechanismSwitch = () => true;
 
 /** Lists each mechanism's name and description. @public */
 export function listMechanisms(): readonly (readonly [Mechanism, string])[] {
@@ -44,7 +44,7 @@
  * @throws Error when a name is unknown.
  * @public
  */
-export function switchOff(names: string): MechanismSwitch {
+export function parseDisabledMechanisms(names: string): MechanismSwitch {
     const off = new Set(names.split(",").map(name => name.trim()).filter(name => name !== ""));
     for (const name of off) {
         if (!Object.hasOwn(mechanismTable, name)) {
--- a/packages/gateway/src/lib/chains/ChainRouter.ts
+++ b/packages/gateway/src/lib/chains/ChainRouter.ts
@@ -2,7 +2,7 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type Target } from "../directory/Target.js";
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "../Mechanisms.js";
 import { buildChain, type Slowdown } from "./buildChain.js";
 import { type Chain } from "./Chain.js";
 import { type TargetPaces } from "./TargetPaces.js";
@@ -101,7 +101,7 @@
     private readonly isOn: MechanismSwitch;
 
     constructor(private readonly options: ChainRouterOptions) {
-        this.isOn = options.isOn ?? allMechanisms;
+        this.isOn = options.isOn ?? allMechanismsOn;
     }
 
     /**
--- a/packages/gateway/src/lib/chains/ChainService.test.ts
+++ b/packages/gateway/src/lib/chains/ChainService.test.ts
@@ -3,22 +3,22 @@
 import { test } from "node:test";
 import { TargetDirectory } from "../directory/TargetDirectory.js";
 import { GatewayMetrics } from "../observation/Observation.js";
-import { silentLogs, testEngine, testTarget, wellReport } from "../testing/fixtures.js";
-import { StandingClock } from "../testing/StandingClock.js";
+import { healthyReport, silentLogs, testEngine, testTarget } from "../testing/fixtures.js";
+import { StallingClock } from "../testing/StallingClock.js";
 import { ChainService } from "./ChainService.js";
 import { type EngineReport } from "./EngineControl.js";
 import { TargetPaces } from "./TargetPaces.js";
 import { TargetSuspicions } from "./TargetSuspicions.js";
 
 function createService() {
-    const clock = new StandingClock();
+    const clock = new StallingClock();
     const logs = silentLogs();
     const directory = new TargetDirectory({ clock });
     directory.put(testTarget("t1", "small", { first: 0, end: 40 }));
     directory.put(testTarget("t2", "small", { first: 40, end: 80 }));
     const suspicions = new TargetSuspicions(clock);
     const paces = new TargetPaces(clock);
-    const reports = new Map<number, EngineReport>([[1_001, wellReport], [1_002, wellReport]]);
+    const reports = new Map<number, EngineReport>([[1_001, healthyReport], [1_002, healthyReport]]);
     const service = new ChainService({
         clock,
         service: "model",
@@ -51,7 +51,7 @@
 
 test("a full target is avoided only briefly", async () => {
     const { clock, suspicions, reports, service, load } = createService();
-    reports.set(1_002, { ...wellReport, cacheUse: 0.95 });
+    reports.set(1_002, { ...healthyReport, cacheUse: 0.95 });
     service.refused(load, 503, "127.0.0.1:1002");
     await clock.advanceAsync(10);
     assert.equal(suspicions.has("t2"), true);
@@ -65,14 +65,14 @@
     service.refused(load, 503, "127.0.0.1:1002");
     await clock.advanceAsync(6_000);
     assert.equal(suspicions.isLost("t2"), true);
-    reports.set(1_002, wellReport);
+    reports.set(1_002, healthyReport);
     await clock.advanceAsync(4_000);
     assert.equal(suspicions.has("t2"), false);
 });
 
 test("a target that stalls others counts as lost", async () => {
     const { clock, suspicions, reports, service, load } = createService();
-    reports.set(1_001, { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
+    reports.set(1_001, { ...healthyReport, stalledBy: ["127.0.0.1:1002"] });
     service.streamFailed(load, false);
     await clock.advanceAsync(10);
     assert.equal(suspicions.isLost("t2"), true);
@@ -103,7 +103,7 @@
 test("streams leave a chain as soon as one of its targets reports that another one stalls it", async () => {
     const { clock, reports, service, load } = createService();
     const left = beginStreams({ service, load });
-    reports.set(1_001, { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
+    reports.set(1_001, { ...healthyReport, stalledBy: ["127.0.0.1:1002"] });
     await clock.advanceAsync(100);
     assert.deepEqual(left, ["127.0.0.1:1002 stalls others", "127.0.0.1:1002 stalls others"]);
 });
@@ -121,7 +121,7 @@
     const { clock, service, load } = createService();
     const left = beginStreams({ service, load });
     await clock.advanceAsync(40);
-    clock.stand(1_000);
+    clock.stall(1_000);
     await clock.advanceAsync(80);
     assert.deepEqual(left, []);
 });
@@ -129,7 +129,7 @@
 test("streams leave a silent target before the chain counts as stalled", async () => {
     const { clock, directory, reports, service, load } = createService();
     directory.put(testTarget("t3", "small", { first: 40, end: 80 }));
-    reports.set(1_003, wellReport);
+    reports.set(1_003, healthyReport);
     const left = beginStreams({ service, load });
     reports.delete(1_002);
     await clock.advanceAsync(125);
@@ -157,7 +157,7 @@
 test("a report of a later start removes the layers of a target before its entry is updated", async () => {
     const { clock, directory, reports, service, load } = createService();
     directory.put({ ...testTarget("t2", "small", { first: 40, end: 80 }), startedAt: 5 });
-    reports.set(1_002, { ...wellReport, startedAt: 6 });
+    reports.set(1_002, { ...healthyReport, startedAt: 6 });
     service.refused(load, 503, "127.0.0.1:1002");
     await clock.advanceAsync(10);
     assert.equal(directory.get("t2")?.layers, undefined);
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -2,7 +2,7 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type Target } from "../directory/Target.js";
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "../Mechanisms.js";
 import { LoopDelay } from "../observation/LoopDelay.js";
 import { type Observation } from "../observation/Observation.js";
 import { type Chain } from "./Chain.js";
@@ -111,7 +111,7 @@
     private isStopped = false;
 
     constructor(private readonly options: ChainServiceOptions) {
-        this.isOn = options.isOn ?? allMechanisms;
+        this.isOn = options.isOn ?? allMechanismsOn;
         this.router = new ChainRouter({
             ...options,
             onChange: (dataCentre, chain) => this.logChain(dataCentre, chain),
--- a/packages/gateway/src/lib/chains/TargetInspector.test.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.test.ts
@@ -4,8 +4,8 @@
 import { TargetDirectory } from "../directory/TargetDirectory.js";
 import { LoopDelay } from "../observation/LoopDelay.js";
 import { GatewayMetrics } from "../observation/Observation.js";
-import { silentLogs, testTarget, wellReport } from "../testing/fixtures.js";
-import { StandingClock } from "../testing/StandingClock.js";
+import { healthyReport, silentLogs, testTarget } from "../testing/fixtures.js";
+import { StallingClock } from "../testing/StallingClock.js";
 import { type EngineReport } from "./EngineControl.js";
 import { TargetInspector } from "./TargetInspector.js";
 import { TargetPaces } from "./TargetPaces.js";
@@ -15,13 +15,13 @@
 
 /** Creates an inspector of targets that answer after `delay` milliseconds, or never if their ids are in `silent`. */
 function createInspector(silent: readonly string[], delay = 10) {
-    const clock = new StandingClock(1);
+    const clock = new StallingClock(1);
     const loop = new LoopDelay(clock);
     const directory = new TargetDirectory({ clock });
     ids.forEach(id => directory.put(testTarget(id, "small")));
     const suspicions = new TargetSuspicions(clock);
     const paces = new TargetPaces(clock);
-    const reports = new Map<string, EngineReport>(ids.map(id => [id, wellReport]));
+    const reports = new Map<string, EngineReport>(ids.map(id => [id, healthyReport]));
     const inspector = new TargetInspector({
         clock,
         directory,
@@ -103,7 +103,7 @@
 
 test("a target that repeatedly stalls others is avoided for longer each time", async () => {
     const { clock, suspicions, reports, inspector } = createInspector([], 10);
-    reports.set("t1", { ...wellReport, stalledBy: ["127.0.0.1:1002"] });
+    reports.set("t1", { ...healthyReport, stalledBy: ["127.0.0.1:1002"] });
     void inspector.survey(["t1"]);
     await clock.advanceAsync(2_100);
     assert.equal(suspicions.has("t2"), false);
@@ -122,7 +122,7 @@
     let found: string[] | undefined;
     void inspector.survey(ids).then(silent => found = silent);
     await clock.advanceAsync(12);
-    clock.stand(14);
+    clock.stall(14);
     await clock.advanceAsync(16);
     assert.equal(found, undefined);
     assert.deepEqual(suspicions.list(), []);
@@ -135,7 +135,7 @@
     void inspector.survey(ids);
     await clock.advanceAsync(50);
     const due = clock.now();
-    clock.stand(150);
+    clock.stall(150);
     loop.note(due);
     await clock.advanceAsync(300);
     assert.deepEqual(suspicions.list(), []);
--- a/packages/gateway/src/lib/chains/TargetInspector.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@waxwingspar/utils";
 import { addressOf } from "../directory/Target.js";
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "../Mechanisms.js";
 import { type LoopDelay } from "../observation/LoopDelay.js";
 import { type Observation } from "../observation/Observation.js";
 import { type EngineControl, type EngineReport } from "./EngineControl.js";
@@ -230,7 +230,7 @@
     }
 
     private avoid(id: string, kind: SuspicionKind, penalty: Penalty): void {
-        const { isOn = allMechanisms } = this.options;
+        const { isOn = allMechanismsOn } = this.options;
         const duration = isOn("penalties") ? this.penalties.add(id, penalty) : penalty.duration;
         this.options.suspicions.suspect(id, kind, duration);
         this.options.observation.logs.chains.warn(
--- a/packages/gateway/src/lib/chains/planLayers.ts
+++ b/packages/gateway/src/lib/chains/planLayers.ts
@@ -1,6 +1,6 @@
 import { type Engine } from "../configuration/Configuration.js";
 import { type Target } from "../directory/Target.js";
-import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "../Mechanisms.js";
 import { addStandbys } from "./addStandbys.js";
 import { type Candidate, rankCandidates } from "./candidates.js";
 import { fillGaps } from "./fillGaps.js";
@@ -48,7 +48,7 @@
  * cannot hold all layers.
  */
 export function planLayers(targets: readonly Target[], engine: Engine, options: PlanOptions = {}): Placement[] {
-    const { inUse = new Set(), mayShift = true, isOn = allMechanisms } = options;
+    const { inUse = new Set(), mayShift = true, isOn = allMechanismsOn } = options;
     const kept = keepRanges(targets, engine);
     const attempts = kept.length === 0
         ? newChainLevels.filter(step => hasSpare(targets, engine, step)).map(({ level }) => ({
--- a/packages/gateway/src/lib/configuration/createConfigurationWatch.test.ts
+++ b/packages/gateway/src/lib/configuration/createConfigurationWatch.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { silentLogs } from "../testing/fixtures.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { type Configuration } from "./Configuration.js";
 import { ConfigurationInForce } from "./ConfigurationInForce.js";
 import { createConfigurationWatch } from "./createConfigurationWatch.js";
@@ -19,7 +19,7 @@
 
 function createScenario(contactTime = 3_000) {
     const clock = new ManualClock();
-    const table = new WatchedTable(clock);
+    const table = new SimulatedStore(clock);
     const configuration = new ConfigurationInForce({ clock, maxConfirmationAge });
     table.put("c", withKeys(1, ["k"]));
     const watch = createConfigurationWatch({
@@ -55,7 +55,7 @@
         for (let outageAt = 5_000; outageAt < 9_000; outageAt += 250) {
             const { clock, table, isAccepted } = createScenario(contactTime);
             await clock.advanceAsync(outageAt);
-            table.setAway(true);
+            table.setDown(true);
             await clock.advanceAsync(1_500);
             assert.ok(isAccepted(), `outage at ${outageAt}`);
         }
@@ -74,7 +74,7 @@
     });
 
     test(`a key revoked right after connections go silent or the store becomes unavailable is rejected, contact time ${contactTime}`, async () => {
-        for (const cut of ["silenceConnections", "setAway"] as const) {
+        for (const cut of ["silenceConnections", "setDown"] as const) {
             for (let cutAt = 5_000; cutAt < 9_000; cutAt += 250) {
                 const { clock, table, isAccepted } = createScenario(contactTime);
                 await clock.advanceAsync(cutAt);
--- a/packages/gateway/src/lib/crashes/CrashGuard.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { silentLogs, testTarget } from "../testing/fixtures.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { CrashCounts } from "./CrashCounts.js";
 import { CrashGuard, type HoldBack } from "./CrashGuard.js";
 import { CrashRecords } from "./CrashRecords.js";
@@ -20,7 +20,7 @@
 
 function createGuard() {
     const clock = new ManualClock(1_000_000);
-    const store = new WatchedTable(clock);
+    const store = new SimulatedStore(clock);
     const counts = new CrashCounts(clock);
     const logs = silentLogs();
     const records = new CrashRecords({ clock, store, logger: logs.requests });
@@ -131,7 +131,7 @@
 test("while the store is away a suspect does not run, and others do", async () => {
     const { clock, store, guard, crash } = createGuard();
     crash(3);
-    store.setAway(true);
+    store.setDown(true);
     const held = guard.requestRetrial("a", () => true);
     await clock.advanceAsync(3_000);
     assert.equal((await held)?.retryAfter, 1_000);
--- a/packages/gateway/src/lib/crashes/CrashRecords.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashRecords.test.ts
@@ -7,7 +7,7 @@
 import { type StoreFailure } from "../store/Store.js";
 import { StoreEras } from "../store/StoreEras.js";
 import { silentLogs } from "../testing/fixtures.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { type CrashRecord, CrashRecords, type RetrialVerdict } from "./CrashRecords.js";
 
 const anyRecord = ({ crashes }: CrashRecord) => crashes >= 0;
@@ -16,7 +16,7 @@
 
 function createSite() {
     const clock = new ManualClock(1_000_000);
-    const store = new WatchedTable(clock);
+    const store = new SimulatedStore(clock);
     const createTable = () => new CrashRecords({ clock, store, logger: silentLogs().requests });
     const started = async () => {
         const table = createTable();
@@ -60,9 +60,9 @@
 test("while the store does not answer, no run is granted, and one that may have been counted counts", async () => {
     const { store, createTable, grant } = createSite();
     const table = createTable();
-    store.setAway(true);
+    store.setDown(true);
     assert.equal(await grant(table), "unavailable");
-    store.setAway(false);
+    store.setDown(false);
     assert.equal(await grant(table), "granted");
 });
 
@@ -122,11 +122,11 @@
 test("crashes that the store did not take are written once it is back", async () => {
     const { clock, store, createTable, started } = createSite();
     const table = createTable();
-    store.setAway(true);
+    store.setDown(true);
     void table.addCrash("a");
     void table.addCrash("a");
     await clock.advanceAsync(5_000);
-    store.setAway(false);
+    store.setDown(false);
     await clock.advanceAsync(5_000);
     assert.equal((await started()).get("a")?.crashes, 2);
 });
--- a/packages/gateway/src/lib/crashes/crashingRequests.test.ts
+++ b/packages/gateway/src/lib/crashes/crashingRequests.test.ts
@@ -74,7 +74,7 @@
     { name: "targets that crash by themselves as well", options: { culprits: 2, crashesPerMinute: 20 } },
     {
         name: "messages between gateways lost, late and repeated",
-        options: { culprits: 2, loss: 0.1, repeats: 0.1, mostDelay: 150 },
+        options: { culprits: 2, loss: 0.1, duplicates: 0.1, maxDelay: 150 },
     },
     {
         name: "all gateways start again, twice",
@@ -99,8 +99,8 @@
         options: { culprits: 2 },
         begin: site => {
             const start = site.group.clock.now() + 5_000;
-            site.after(5_000, () => site.store.setAway(true));
-            site.after(15_000, () => site.store.setAway(false));
+            site.after(5_000, () => site.store.setDown(true));
+            site.after(15_000, () => site.store.setDown(false));
             return { start, end: start + 10_000 };
         },
     },
--- a/packages/gateway/src/lib/directory/leavingTargets.test.ts
+++ b/packages/gateway/src/lib/directory/leavingTargets.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { ServicePicker } from "../services/ServicePicker.js";
 import { silentLogs } from "../testing/fixtures.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { createTargetWatch } from "./createTargetWatch.js";
 import { type Target } from "./Target.js";
 import { TargetDirectory } from "./TargetDirectory.js";
@@ -37,12 +37,12 @@
 interface TimedEvent {
     /** Milliseconds after the start. */
     readonly at: number;
-    readonly run: (table: WatchedTable) => void;
+    readonly run: (table: SimulatedStore) => void;
 }
 
 const leave = {
-    announced: (table: WatchedTable) => table.put("a", { ...leavingTarget, state: "draining" }),
-    silently: (table: WatchedTable) => table.put("a", undefined),
+    announced: (table: SimulatedStore) => table.put("a", { ...leavingTarget, state: "draining" }),
+    silently: (table: SimulatedStore) => table.put("a", undefined),
 };
 
 /**
@@ -52,7 +52,7 @@
  */
 async function simulateRequests(events: readonly TimedEvent[], contactTime = defaultContactTime): Promise<number[]> {
     const clock = new ManualClock();
-    const table = new WatchedTable(clock);
+    const table = new SimulatedStore(clock);
     const directory = new TargetDirectory({ clock });
     const picker = new ServicePicker({ clock, service: "s", dataCentre: "x", directory });
     table.put("a", leavingTarget);
@@ -135,8 +135,8 @@
                 const upAt = downAt + outage;
                 const leftAt = upAt + later;
                 const sends = await simulateRequests([
-                    { at: downAt, run: table => table.setAway(true) },
-                    { at: upAt, run: table => table.setAway(false) },
+                    { at: downAt, run: table => table.setDown(true) },
+                    { at: upAt, run: table => table.setDown(false) },
                     { at: leftAt, run: leave.silently },
                 ]);
                 const bound = Math.max(upAt + defaultContactTime, leftAt + drainTime);
@@ -159,9 +159,9 @@
             const upAt = downAt + outage;
             const returnedAt = upAt + 1_900;
             const sends = await simulateRequests([
-                { at: downAt, run: table => table.setAway(true) },
+                { at: downAt, run: table => table.setDown(true) },
                 { at: upAt - 100, run: leave.silently },
-                { at: upAt, run: table => table.setAway(false) },
+                { at: upAt, run: table => table.setDown(false) },
                 { at: returnedAt, run: table => table.put("a", leavingTarget) },
             ]);
             const sentCount = sends.filter(at => at > downAt && at <= returnedAt + tail).length;
--- a/packages/gateway/src/lib/duty/PlacementDuty.test.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.test.ts
@@ -9,7 +9,7 @@
 import { TargetDirectory } from "../directory/TargetDirectory.js";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { addSums, sumsOf } from "../peers/GroupSums.js";
-import { silentLogs, testEngine, testTarget, wellReport } from "../testing/fixtures.js";
+import { healthyReport, silentLogs, testEngine, testTarget } from "../testing/fixtures.js";
 import { PlacementDuty } from "./PlacementDuty.js";
 
 interface GivenOrder extends LayerOrder {
@@ -41,7 +41,7 @@
         engines: {
             fetchReport: ({ port }) => {
                 const layers = directory.get(`t${port - 1_000}`)?.layers;
-                return Promise.resolve({ ...wellReport, orders: 0, layers });
+                return Promise.resolve({ ...healthyReport, orders: 0, layers });
             },
             place: ({ port }, order) => {
                 const given = { id: `t${port - 1_000}`, ...order };
--- a/packages/gateway/src/lib/duty/PlacementDuty.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.ts
@@ -9,7 +9,7 @@
 import { type Engine, type Service } from "../configuration/Configuration.js";
 import { incarnationOf, type LayerRange, sameRange, type Target } from "../directory/Target.js";
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms, type MechanismSwitch } from "../Mechanisms.js";
+import { allMechanismsOn, type MechanismSwitch } from "../Mechanisms.js";
 import { type Observation } from "../observation/Observation.js";
 import { type PeerGroup } from "../peers/PeerGroup.js";
 import { DataCentreChain } from "./DataCentreChain.js";
@@ -158,7 +158,7 @@
      * targets at a twelfth of their speed callers waited for a first event for 0.8 to 2.5 s (medians of 2 s each).
      */
     private planDataCentre(targets: readonly Target[], engine: Engine, chain: DataCentreChain): Placement[] {
-        const { paces, isOn = allMechanisms } = this.options;
+        const { paces, isOn = allMechanismsOn } = this.options;
         const inUse = isOn("in-use-targets") ? chain.inUse : new Set<string>();
         const mayShift = chain.isOutForLong || !isOn("shift-patience");
         const wellPaced = targets.filter(({ id }) => !isOn("slow-targets") || paces.slowdown(id) === 1);
--- a/packages/gateway/src/lib/duty/PlacementLease.test.ts
+++ b/packages/gateway/src/lib/duty/PlacementLease.test.ts
@@ -8,7 +8,7 @@
 import { type Store } from "../store/Store.js";
 import { StoreEras } from "../store/StoreEras.js";
 import { silentLogs } from "../testing/fixtures.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { PlacementLease } from "./PlacementLease.js";
 
 type Watched = Awaited<ReturnType<Store["watch"]>>;
@@ -94,7 +94,7 @@
 /** A holder over a store that can come back from a copy. */
 async function createHolder() {
     const clock = new ManualClock(1_000_000);
-    const table = new WatchedTable(clock);
+    const table = new SimulatedStore(clock);
     const eras = new StoreEras();
     const logs = silentLogs();
     const observation = { logs, metrics: new GatewayMetrics(new MetricRegistry(clock)) };
--- a/packages/gateway/src/lib/peers/PeerExchange.test.ts
+++ b/packages/gateway/src/lib/peers/PeerExchange.test.ts
@@ -8,7 +8,7 @@
     [70, { dataCentres: 5, gatewaysEach: 14 }],
     [300, { dataCentres: 5, gatewaysEach: 60 }],
 ];
-const lossy = { loss: 0.1, repeats: 0.1, mostDelay: 150 };
+const lossy = { loss: 0.1, duplicates: 0.1, maxDelay: 150 };
 /** Bytes above which a network may fragment a datagram. */
 const datagramBound = 1_200;
 
@@ -36,7 +36,7 @@
     test(`${count} gateways that start together discover each other within 1.8 s`, () => {
         const group = new SimulatedGroup(options);
         group.run(1_800);
-        assert.deepEqual(sizesSeen(group.living), [count]);
+        assert.deepEqual(sizesSeen(group.runningGateways), [count]);
     });
 
     test(`${count} gateways: the load of one is known to all others within 0.9 s`, () => {
@@ -44,7 +44,7 @@
         const busy = gatewayAt(group, count - 1);
         busy.state = { ...busy.state, chainLoads: { target: 7 } };
         group.run(900);
-        const others = group.living.filter(gateway => gateway !== busy);
+        const others = group.runningGateways.filter(gateway => gateway !== busy);
         assert.ok(others.every(({ exchange }) => exchange.others.chainLoads["target"] === 7));
         assert.equal(busy.exchange.others.chainLoads["target"] ?? 0, 0);
     });
@@ -56,21 +56,21 @@
         group.run(seconds * 1_000);
         const { dataCentres = 2, gatewaysEach = 2 } = options;
         const relayBound = 5 * (gatewaysEach - 1 + 2 * (dataCentres - 1));
-        for (const { exchange, received, sent } of group.living) {
+        for (const { exchange, received, sent } of group.runningGateways) {
             const bound = (exchange.isRelay ? relayBound : 10) * seconds;
             assert.ok(received.messages <= bound, `received ${received.messages} messages, expected at most ${bound}`);
             assert.ok(sent.messages <= bound, `sent ${sent.messages} messages, expected at most ${bound}`);
         }
-        const relays = group.living.filter(({ exchange }) => exchange.isRelay);
+        const relays = group.runningGateways.filter(({ exchange }) => exchange.isRelay);
         assert.equal(relays.length, 2 * dataCentres);
     });
 }
 
 test("gateways that each know only those that joined earlier form one group, whatever their addresses", () => {
-    const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 8, startsFirst: true, firstAddress: 8 });
+    const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 8, isFirstStart: true, firstAddress: 8 });
     group.run(5_000);
-    assert.deepEqual(sizesSeen(group.living), [24]);
-    assert.equal(group.living.filter(({ exchange }) => exchange.isRelay).length, 6);
+    assert.deepEqual(sizesSeen(group.runningGateways), [24]);
+    assert.equal(group.runningGateways.filter(({ exchange }) => exchange.isRelay).length, 6);
 });
 
 test("no heartbeat is large enough to be fragmented, however much state it contains", () => {
@@ -97,7 +97,7 @@
     gatewayAt(group, 0).isDown = true;
     gatewayAt(group, 1).isDown = true;
     group.run(4_000);
-    assert.deepEqual(sizesSeen(group.living), [68]);
+    assert.deepEqual(sizesSeen(group.runningGateways), [68]);
 });
 
 test("all four reported gateways of a data centre lost: the others know the live gateways within 4 s", () => {
@@ -106,25 +106,25 @@
         gatewayAt(group, index).isDown = true;
     });
     group.run(4_000);
-    assert.deepEqual(sizesSeen(group.living), [38]);
+    assert.deepEqual(sizesSeen(group.runningGateways), [38]);
 });
 
 test("one relay lost: no other gateway counts as failed in the meantime", () => {
     const group = settledGroup({ dataCentres: 3, gatewaysEach: 10 });
     gatewayAt(group, 0).isDown = true;
-    group.run(4_000, () => assert.ok((sizesSeen(group.living)[0] ?? 0) >= 29));
-    assert.deepEqual(sizesSeen(group.living), [29]);
+    group.run(4_000, () => assert.ok((sizesSeen(group.runningGateways)[0] ?? 0) >= 29));
+    assert.deepEqual(sizesSeen(group.runningGateways), [29]);
 });
 
 test("a data centre that is cut off is no longer counted, and counted again after two minutes", () => {
     const group = settledGroup({ dataCentres: 3, gatewaysEach: 6 });
     group.isCut = (from, to) => (from.dataCentre === "dc-0") !== (to.dataCentre === "dc-0");
     group.run(1_500);
-    assert.deepEqual(sizesSeen(group.living), [6, 12]);
+    assert.deepEqual(sizesSeen(group.runningGateways), [6, 12]);
     group.run(120_000);
     group.isCut = () => false;
     group.run(3_000);
-    assert.deepEqual(sizesSeen(group.living), [18]);
+    assert.deepEqual(sizesSeen(group.runningGateways), [18]);
 });
 
 test("two partitions of a data centre merge after two minutes", () => {
@@ -134,8 +134,8 @@
     group.run(120_000);
     group.isCut = () => false;
     group.run(60_000);
-    assert.deepEqual(sizesSeen(group.living), [20]);
-    assert.equal(group.living.filter(({ exchange }) => exchange.isRelay).length, 4);
+    assert.deepEqual(sizesSeen(group.runningGateways), [20]);
+    assert.equal(group.runningGateways.filter(({ exchange }) => exchange.isRelay).length, 4);
 });
 
 test("hosts that are replaced are removed, and the new ones discovered", () => {
@@ -147,9 +147,9 @@
         group.run(4_000);
     }
     group.run(4_000);
-    assert.deepEqual(sizesSeen(group.living), [10]);
+    assert.deepEqual(sizesSeen(group.runningGateways), [10]);
     group.run(30_000);
-    const mostKnown = Math.max(...group.living.map(({ exchange }) => exchange.knownMembers));
+    const mostKnown = Math.max(...group.runningGateways.map(({ exchange }) => exchange.knownMembers));
     assert.ok(mostKnown <= 16, `${mostKnown} known`);
 });
 
@@ -161,9 +161,9 @@
     old.isDown = true;
     group.introduce(group.add(1, 2));
     group.run(1_000);
-    assert.deepEqual(sizesSeen(group.living), [8]);
-    assert.ok(group.living.every(({ exchange }) => exchange.others.dutyTerm === undefined));
-    assert.ok(group.living.every(({ exchange }) => (exchange.others.chainLoads["target"] ?? 0) === 0));
+    assert.deepEqual(sizesSeen(group.runningGateways), [8]);
+    assert.ok(group.runningGateways.every(({ exchange }) => exchange.others.dutyTerm === undefined));
+    assert.ok(group.runningGateways.every(({ exchange }) => (exchange.others.chainLoads["target"] ?? 0) === 0));
 });
 
 for (const seed of [1, 2, 3]) {
@@ -172,7 +172,7 @@
         const holder = gatewayAt(group, 13);
         holder.state = { ...holder.state, dutyTerm: 5 };
         group.run(2_000);
-        const others = group.living.filter(gateway => gateway !== holder);
+        const others = group.runningGateways.filter(gateway => gateway !== holder);
         group.run(30_000, () => {
             const unaware = others.filter(({ exchange }) => exchange.others.dutyTerm !== 5);
             assert.deepEqual(unaware.map(({ name }) => name), []);
@@ -180,16 +180,16 @@
     });
 
     test(`the age of a confirmation is never underestimated, seed ${seed}`, () => {
-        const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 5, seed, ...lossy, mostDelay: 2_500 });
+        const group = new SimulatedGroup({ dataCentres: 3, gatewaysEach: 5, seed, ...lossy, maxDelay: 2_500 });
         let confirmedAt = -Infinity;
         group.run(20_000, () => {
             if (group.clock.now() % 1_000 === 0) {
                 confirmedAt = group.clock.now();
                 gatewayAt(group, 7).confirmedAt = confirmedAt;
             }
-            assert.ok(group.gateways.every(({ heardConfirmation }) => heardConfirmation <= confirmedAt));
+            assert.ok(group.gateways.every(({ peerConfirmedAt }) => peerConfirmedAt <= confirmedAt));
         });
-        assert.ok(group.gateways.every(({ heardConfirmation }) => heardConfirmation > -Infinity));
+        assert.ok(group.gateways.every(({ peerConfirmedAt }) => peerConfirmedAt > -Infinity));
     });
 }
 
@@ -199,7 +199,7 @@
     gatewayAt(group, 40).confirmedAt = confirmedAt;
     group.run(1_200);
     const others = group.gateways.filter((_, index) => index !== 40);
-    assert.ok(others.every(({ heardConfirmation }) => heardConfirmation >= confirmedAt - 800));
+    assert.ok(others.every(({ peerConfirmedAt }) => peerConfirmedAt >= confirmedAt - 800));
 });
 
 test("the age of a peer's confirmation increases after it was received", () => {
@@ -222,7 +222,7 @@
 });
 
 test("the shares of a budget are within it 1.5 s after 68 gateways started for the first time", () => {
-    const group = new SimulatedGroup({ dataCentres: 4, gatewaysEach: 17, startsFirst: true });
+    const group = new SimulatedGroup({ dataCentres: 4, gatewaysEach: 17, isFirstStart: true });
     group.run(1_500);
     group.run(10_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
 });
@@ -244,6 +244,6 @@
     group.run(8_000, () => assert.ok(sumOfShares(group) < 1.01, `${sumOfShares(group)}`));
 });
 
-function sumOfShares({ living }: SimulatedGroup): number {
-    return living.reduce((sum, { size }) => sum + 1 / size.value, 0);
+function sumOfShares({ runningGateways }: SimulatedGroup): number {
+    return runningGateways.reduce((sum, { size }) => sum + 1 / size.value, 0);
 }
--- a/packages/gateway/src/lib/store/sharedWatches.test.ts
+++ b/packages/gateway/src/lib/store/sharedWatches.test.ts
@@ -3,7 +3,7 @@
 import { ageOf, type Moment } from "../Moment.js";
 import { watchRole } from "../peers/watchRole.js";
 import { type SimulatedGateway, SimulatedGroup } from "../testing/SimulatedGroup.js";
-import { WatchedTable } from "../testing/WatchedTable.js";
+import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { type Store, type StoreFailure } from "./Store.js";
 import { TableWatch, type WatchRole } from "./TableWatch.js";
 import { relianceWithin, watchWait } from "./watchWait.js";
@@ -32,12 +32,12 @@
 /** Gateways that follow a table, most of them through the reports of relays. */
 class FollowingGroup {
     readonly group: SimulatedGroup;
-    readonly table: WatchedTable;
+    readonly table: SimulatedStore;
     readonly followers: Follower[];
 
     constructor(dataCentres = 2, gatewaysEach = 8, readonly role?: (gateway: SimulatedGateway) => WatchRole) {
         this.group = new SimulatedGroup({ dataCentres, gatewaysEach, startSpread: 200 });
-        this.table = new WatchedTable(this.group.clock);
+        this.table = new SimulatedStore(this.group.clock);
         this.table.put("a", 1);
         this.followers = this.group.gateways.map(gateway => this.follow(gateway));
     }
@@ -97,7 +97,7 @@
     return watchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
 }
 
-function storeOver(table: WatchedTable, path: StorePath): Store {
+function storeOver(table: SimulatedStore, path: StorePath): Store {
     const refused: StoreFailure = { kind: "unavailable", reason: "status 503" };
     return {
         read: () => {
@@ -161,7 +161,7 @@
 
 test("a follower requests changes after the versions its leader has seen, so that the store's history may be short", async () => {
     const simulation = await createSettledGroup();
-    simulation.table.changeOthers(1_000);
+    simulation.table.changeOtherTables(1_000);
     await simulation.run(3_000);
     simulation.table.put("a", 2);
     await simulation.run(1_000);
@@ -216,10 +216,10 @@
 
 test("rows that were removed in an outage may be written again, at followers as well", async () => {
     const simulation = await createSettledGroup();
-    simulation.table.setAway(true);
+    simulation.table.setDown(true);
     await simulation.run(4_000);
     simulation.table.put("a", undefined);
-    simulation.table.setAway(false);
+    simulation.table.setDown(false);
     await simulation.run(1_000);
     for (const { rows, graceEnd } of simulation.followers) {
         assert.ok(rows.has("a") && rows.get("a") === undefined);
--- a/packages/gateway/src/lib/testing/CrashingSite.ts
+++ b/packages/gateway/src/lib/testing/CrashingSite.ts
@@ -4,8 +4,8 @@
 import { type SimulatedAnswer } from "./SimulatedAnswer.js";
 import { type SimulatedGateway, SimulatedGroup, type SimulatedGroupOptions } from "./SimulatedGroup.js";
 import { SimulatedRouter } from "./SimulatedRouter.js";
+import { SimulatedStore } from "./SimulatedStore.js";
 import { SimulatedTarget } from "./SimulatedTarget.js";
-import { WatchedTable } from "./WatchedTable.js";
 
 /** Options of {@link CrashingSite}. */
 export interface CrashingSiteOptions extends SimulatedGroupOptions {
@@ -59,7 +59,7 @@
  */
 export class CrashingSite {
     readonly group: SimulatedGroup;
-    readonly store: WatchedTable;
+    readonly store: SimulatedStore;
     readonly outcomes: CallerOutcome[] = [];
     /** Times at which each culprit crashed a target, by request body. */
     readonly crashes = new Map<string, number[]>();
@@ -78,7 +78,7 @@
         const { seed = 1, load = 40, culprits = 1, crashesPerMinute = 0, gatewaysEach = 2 } = options;
         this.options = { load, culprits, crashesPerMinute, gatewaysEach };
         this.group = new SimulatedGroup({ dataCentres: 3, ...options, gatewaysEach });
-        this.store = new WatchedTable(this.group.clock);
+        this.store = new SimulatedStore(this.group.clock);
         this.random = seededRandom(seed + 500);
         this.gateways = this.group.gateways.map(gateway => this.createGateway(gateway));
         for (let dataCentre = 0; dataCentre < (options.dataCentres ?? 3); dataCentre++) {
@@ -219,7 +219,7 @@
         onEnd: () => void = () => undefined,
         failures: readonly CallerFailure[] = [],
     ): void {
-        const living = this.gateways.filter(({ group }) => this.group.living.includes(group));
+        const living = this.gateways.filter(({ group }) => this.group.runningGateways.includes(group));
         const gateway = living[Math.floor(this.random.next() * living.length)];
         if (gateway === undefined) {
             return;
--- a/packages/gateway/src/lib/testing/RestoringSite.ts
+++ b/packages/gateway/src/lib/testing/RestoredStoreSite.ts
@@ -14,17 +14,17 @@
 import { StoreEras } from "../store/StoreEras.js";
 import { silentLogs } from "./fixtures.js";
 import { type SimulatedGateway, SimulatedGroup } from "./SimulatedGroup.js";
-import { WatchedTable } from "./WatchedTable.js";
+import { SimulatedStore } from "./SimulatedStore.js";
 
 /** Options of {@link RestoredStoreSite}. */
-export interface RestoringSiteOptions {
+export interface RestoredStoreSiteOptions {
     readonly seed: number;
     readonly dataCentres?: number;
     readonly gatewaysEach?: number;
 }
 
 /** A simulated gateway with its view of the store. */
-export interface RestoringGateway {
+export interface RestoredStoreGateway {
     readonly group: SimulatedGateway;
     readonly configuration: ConfigurationInForce;
     readonly directory: TargetDirectory;
@@ -34,7 +34,7 @@
     /** Whether the store refuses its calls. */
     isCut: boolean;
     /** Incarnations of targets that it has seen removed. */
-    readonly gone: Set<string>;
+    readonly removedIncarnations: Set<string>;
 }
 
 const configurationKey = "configuration";
@@ -55,23 +55,23 @@
  * change the configuration and its key, targets are added and removed, gateways lose contact to the store, and the
  * holder of the placement lease changes. Every version of the configuration has its own key.
  */
-export class RestoringSite {
+export class RestoredStoreSite {
     readonly group: SimulatedGroup;
-    readonly table: WatchedTable;
-    readonly gateways: RestoringGateway[];
+    readonly table: SimulatedStore;
+    readonly gateways: RestoredStoreGateway[];
     /** When the store acknowledged each version of the configuration. */
     readonly acknowledged: { readonly version: number; readonly at: number; }[] = [];
     /** Targets that are running, by id. */
-    readonly living = new Map<string, Target>();
+    readonly runningTargets = new Map<string, Target>();
     private readonly random: Random;
     /** The last value that operator or target wrote, by key; undefined if the row was removed. */
     private readonly writes = new Map<string, unknown>();
     private starts = 0;
 
-    constructor({ seed, dataCentres = 2, gatewaysEach = 3 }: RestoringSiteOptions) {
+    constructor({ seed, dataCentres = 2, gatewaysEach = 3 }: RestoredStoreSiteOptions) {
         this.random = seededRandom(seed + 900);
         this.group = new SimulatedGroup({ dataCentres, gatewaysEach, seed });
-        this.table = new WatchedTable(this.group.clock);
+        this.table = new SimulatedStore(this.group.clock);
         this.changeConfiguration();
         for (let target = 0; target < 6; target++) {
             this.startTarget(`t${target}`);
@@ -90,7 +90,7 @@
     }
 
     /** Injects one random event. */
-    disturb(): void {
+    injectRandomEvent(): void {
         const actions = [
             () => this.changeConfiguration(),
             () => this.changeConfiguration(),
@@ -98,8 +98,8 @@
             () => this.removeTarget(),
             () => this.removeTarget(),
             () => this.cutGateway(),
-            () => this.drill(),
-            () => this.drill(),
+            () => this.failAndRestore(),
+            () => this.failAndRestore(),
         ];
         actions[Math.floor(this.random.next() * actions.length)]?.();
     }
@@ -114,14 +114,14 @@
     }
 
     /** Takes a copy of the store, and after a short outage restores it. */
-    drill(): void {
+    failAndRestore(): void {
         const { clock } = this.group;
         this.table.saveCopy();
         clock.schedule(() => {
-            this.table.setAway(true);
+            this.table.setDown(true);
             clock.schedule(() => {
                 this.table.restoreCopy();
-                this.table.setAway(false);
+                this.table.setDown(false);
                 this.rewrite();
             }, this.draw(outageTime));
         }, this.draw(copyAge));
@@ -147,15 +147,15 @@
             dataCentre: "x",
             state: "ready",
         };
-        this.living.set(id, target);
+        this.runningTargets.set(id, target);
         this.write(id, target);
     }
 
     private removeTarget(): void {
-        const ids = [...this.living.keys()];
+        const ids = [...this.runningTargets.keys()];
         const id = ids[Math.floor(this.random.next() * ids.length)];
         if (id !== undefined && ids.length > 2) {
-            this.living.delete(id);
+            this.runningTargets.delete(id);
             this.write(id, undefined);
         }
     }
@@ -175,7 +175,7 @@
         this.table.put(key, value);
     }
 
-    private createGateway(group: SimulatedGateway): RestoringGateway {
+    private createGateway(group: SimulatedGateway): RestoredStoreGateway {
         const { clock } = this.group;
         const logs = silentLogs();
         const eras = new StoreEras();
@@ -196,14 +196,14 @@
             peers: group.exchange,
             logger: logs.duty,
         });
-        const gateway: RestoringGateway = {
+        const gateway: RestoredStoreGateway = {
             group,
             configuration,
             directory,
             lease,
             calls: 0,
             isCut: false,
-            gone: new Set(),
+            removedIncarnations: new Set(),
         };
         group.watch = createConfigurationWatch({
             ...common,
@@ -240,18 +240,22 @@
      * Records removed incarnations. A running target may be dropped while its entry cannot be read; once it is added
      * again it no longer counts as removed.
      */
-    private recordRemoval({ gone }: RestoringGateway, kind: DirectoryChange["kind"], target: Target): void {
+    private recordRemoval(
+        { removedIncarnations }: RestoredStoreGateway,
+        kind: DirectoryChange["kind"],
+        target: Target,
+    ): void {
         const start = incarnationOf(target);
         if (kind === "removed") {
-            gone.add(start);
+            removedIncarnations.add(start);
         }
-        else if (kind === "added" && this.living.get(target.id)?.startedAt === target.startedAt) {
-            gone.delete(start);
+        else if (kind === "added" && this.runningTargets.get(target.id)?.startedAt === target.startedAt) {
+            removedIncarnations.delete(start);
         }
     }
 
     /** The store as seen by one gateway, which may be cut off from it. */
-    private createGatewayStore(gateway: () => RestoringGateway): Store {
+    private createGatewayStore(gateway: () => RestoredStoreGateway): Store {
         const refused: StoreFailure = { kind: "unavailable", reason: "status 503" };
         const callUnlessCut = <T>(call: () => Promise<T>): Promise<T | StoreFailure> => {
             gateway().calls++;
--- a/packages/gateway/src/lib/testing/SimulatedGroup.ts
+++ b/packages/gateway/src/lib/testing/SimulatedGroup.ts
@@ -15,13 +15,13 @@
     /** Share of the datagrams that are lost. */
     readonly loss?: number;
     /** Share of the datagrams that are delivered twice. */
-    readonly repeats?: number;
+    readonly duplicates?: number;
     /** Longest delivery time of a datagram in milliseconds. */
-    readonly mostDelay?: number;
+    readonly maxDelay?: number;
     /** Milliseconds within which the gateways start, at random. */
     readonly startSpread?: number;
     /** Whether each gateway initially knows only those created before it, as at the first start of a site. */
-    readonly startsFirst?: boolean;
+    readonly isFirstStart?: boolean;
     /** Last octet of the first gateway's address. */
     readonly firstAddress?: number;
 }
@@ -47,7 +47,7 @@
     /** When the store last confirmed the newest configuration to it, on the group's clock. */
     confirmedAt: number | undefined;
     /** The latest time as of which peers confirmed the configuration to it. */
-    heardConfirmation: number;
+    peerConfirmedAt: number;
     /** Its watch of a table, if a test sets one. */
     watch?: TableWatch;
     /** Whether it neither sends nor receives. */
@@ -79,10 +79,10 @@
             gatewaysEach: 2,
             seed: 1,
             loss: 0,
-            repeats: 0,
-            mostDelay: 3,
+            duplicates: 0,
+            maxDelay: 3,
             startSpread: 300,
-            startsFirst: false,
+            isFirstStart: false,
             firstAddress: 10,
             ...options,
         };
@@ -92,8 +92,8 @@
                 this.add(dataCentre, index);
             }
         }
-        const { startsFirst } = this.options;
-        this.gateways.forEach((gateway, index) => this.introduce(gateway, startsFirst ? index : undefined));
+        const { isFirstStart } = this.options;
+        this.gateways.forEach((gateway, index) => this.introduce(gateway, isFirstStart ? index : undefined));
     }
 
     /** Adds a gateway. No gateway knows it yet, and it knows none until {@link SimulatedGroup.introduce}. */
@@ -122,7 +122,7 @@
             size: new GroupSize(this.clock),
             state: { suspects: [], slowTargets: {}, chainLoads: {}, crashes: {}, mayTakeDuty: true },
             confirmedAt: undefined,
-            heardConfirmation: -Infinity,
+            peerConfirmedAt: -Infinity,
             isDown: false,
             startsAt: this.clock.now() + Math.floor(this.random.next() * this.options.startSpread),
             received: { messages: 0, bytes: 0 },
@@ -154,7 +154,7 @@
         size.join(exchange.knownMembers + 1);
     }
 
-    get living(): SimulatedGateway[] {
+    get runningGateways(): SimulatedGateway[] {
         return this.gateways.filter(gateway => !gateway.isDown && this.clock.now() >= gateway.startsAt);
     }
 
@@ -169,7 +169,7 @@
             const now = this.clock.now();
             this.inFlight.get(now)?.forEach(deliver => deliver());
             this.inFlight.delete(now);
-            this.living
+            this.runningGateways
                 .filter(({ startsAt }) => (now - startsAt) % heartbeatInterval === 0)
                 .forEach(({ exchange }) => exchange.beat());
             if (now % 100 === 0) {
@@ -195,11 +195,11 @@
         }
     }
 
-    private describeTables({ confirmedAt, heardConfirmation, watch }: SimulatedGateway): TableWords {
+    private describeTables({ confirmedAt, peerConfirmedAt, watch }: SimulatedGateway): TableWords {
         if (watch !== undefined) {
             return watch.word === undefined ? {} : { [table]: watch.word };
         }
-        const newest = Math.max(confirmedAt ?? -Infinity, heardConfirmation);
+        const newest = Math.max(confirmedAt ?? -Infinity, peerConfirmedAt);
         return newest === -Infinity
             ? {}
             : {
@@ -212,13 +212,13 @@
         const receiver = this.byAddress.get(to);
         this.largestDatagram = Math.max(this.largestDatagram, datagram.length);
         count(from.sent, datagram);
-        const { loss, repeats, mostDelay } = this.options;
+        const { loss, duplicates, maxDelay } = this.options;
         if (receiver === undefined || this.isCut(from, receiver) || this.random.next() < loss) {
             return;
         }
-        const copies = this.random.next() < repeats ? 2 : 1;
+        const copies = this.random.next() < duplicates ? 2 : 1;
         for (let copy = 0; copy < copies; copy++) {
-            const due = this.clock.now() + 1 + Math.floor(this.random.next() * mostDelay);
+            const due = this.clock.now() + 1 + Math.floor(this.random.next() * maxDelay);
             const deliver = () => {
                 if (!receiver.isDown && this.clock.now() >= receiver.startsAt) {
                     count(receiver.received, datagram);
@@ -232,7 +232,7 @@
 
 function recordConfirmation(gateway: SimulatedGateway, tableStatus: TableWord, after: Moment): void {
     gateway.watch?.hear(tableStatus, after);
-    gateway.heardConfirmation = Math.max(gateway.heardConfirmation, after.now - tableStatus.age);
+    gateway.peerConfirmedAt = Math.max(gateway.peerConfirmedAt, after.now - tableStatus.age);
 }
 
 function count(traffic: Traffic, datagram: string): void {
--- a/packages/gateway/src/lib/testing/SimulatedRouter.ts
+++ b/packages/gateway/src/lib/testing/SimulatedRouter.ts
@@ -7,7 +7,7 @@
 import { type Route } from "../configuration/Configuration.js";
 import { CrashParts } from "../crashes/CrashParts.js";
 import { TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms } from "../Mechanisms.js";
+import { allMechanismsOn } from "../Mechanisms.js";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { CallerExchange } from "../requests/CallerExchange.js";
 import { CallerLinkMonitor } from "../requests/CallerLinkMonitor.js";
@@ -16,7 +16,7 @@
 import { RetryBudget } from "../requests/RetryBudget.js";
 import { StreamRun } from "../requests/StreamRun.js";
 import { type Store } from "../store/Store.js";
-import { silentLogs, testEngine, wellReport } from "./fixtures.js";
+import { healthyReport, silentLogs, testEngine } from "./fixtures.js";
 import { SimulatedAnswer } from "./SimulatedAnswer.js";
 import { refusalStatus, type SimulatedTarget } from "./SimulatedTarget.js";
 
@@ -96,7 +96,7 @@
             paces: new TargetPaces(clock),
             peerLoad,
             engines: {
-                fetchReport: ({ port }) => Promise.resolve(targetAt(port).givesReports ? wellReport : undefined),
+                fetchReport: ({ port }) => Promise.resolve(targetAt(port).givesReports ? healthyReport : undefined),
                 place: () => Promise.resolve({ kind: "held" }),
             },
             observation,
@@ -109,7 +109,7 @@
             connectTimeout: 450,
             crashes: this.crashes,
             openExchange: exchange => targetAt(exchange.port).open(exchange),
-            isOn: allMechanisms,
+            isOn: allMechanismsOn,
             targetListAge: () => this.directory.age,
         };
     }
--- a/packages/gateway/src/lib/testing/WatchedTable.ts
+++ b/packages/gateway/src/lib/testing/SimulatedStore.ts
@@ -28,14 +28,14 @@
  * A simulated store with one table, for tests of code that watches it. Calls time out if their connections fall silent
  * while they are in flight, or while the store is down.
  */
-export class WatchedTable implements Store {
+export class SimulatedStore implements Store {
     private readonly rows = new Map<string, StoredRow>();
     private readonly changes: (RowChange & { readonly version: number; })[] = [];
     private waiting = new Set<WaitingCall>();
     private version = 1;
     private era = 1;
     private copy: { readonly rows: readonly StoredRow[]; readonly version: number; } = { rows: [], version: 1 };
-    private isAway = false;
+    private isDown = false;
 
     constructor(private readonly clock: Clock) {}
 
@@ -57,7 +57,7 @@
     }
 
     /** Simulates changes of other tables, which raise the store's version. */
-    changeOthers(count: number): void {
+    changeOtherTables(count: number): void {
         this.version += count;
     }
 
@@ -71,7 +71,7 @@
         return this.rows.get(key)?.value;
     }
 
-    /** Saves the copy that {@link WatchedTable.restoreCopy} restores. */
+    /** Saves the copy that {@link SimulatedStore.restoreCopy} restores. */
     saveCopy(): void {
         this.copy = { rows: [...this.rows.values()], version: this.version };
     }
@@ -88,8 +88,8 @@
     }
 
     /** Stops or restarts the store. Calls in flight get no answer. */
-    setAway(isDown: boolean): void {
-        this.isAway = isDown;
+    setDown(isDown: boolean): void {
+        this.isDown = isDown;
         this.silenceConnections();
     }
 
@@ -148,7 +148,7 @@
     private call<T>(timeout: number, receive: (answer: (reply: T) => void) => void): Promise<T | StoreFailure> {
         return new Promise(resolve => {
             const timer: Timer = this.clock.schedule(() => resolve({ kind: "unknown", reason: "timeout" }), timeout);
-            if (this.isAway) {
+            if (this.isDown) {
                 return;
             }
             receive(reply => {
--- a/packages/gateway/src/lib/testing/StandingClock.ts
+++ b/packages/gateway/src/lib/testing/StallingClock.ts
@@ -1,12 +1,12 @@
 import { type Clock, ManualClock, type Timer } from "@waxwingspar/utils";
 
 /** A manual clock of a process that can stall: its time advances while none of its timers runs. */
-export class StandingClock implements Clock {
+export class StallingClock implements Clock {
     private readonly manual = new ManualClock();
     private stoodStill = 0;
 
     /**
-     * @param step - Milliseconds after which {@link StandingClock.advanceAsync} lets pending promises settle each time.
+     * @param step - Milliseconds after which {@link StallingClock.advanceAsync} lets pending promises settle each time.
      */
     constructor(private readonly step?: number) {}
 
@@ -27,7 +27,7 @@
     }
 
     /** Simulates a stall of the process: advances the time without running timers. */
-    stand(duration: number): void {
+    stall(duration: number): void {
         this.stoodStill += duration;
     }
 }
--- a/packages/gateway/src/lib/testing/StreamSite.ts
+++ b/packages/gateway/src/lib/testing/StreamSite.ts
@@ -3,8 +3,8 @@
 import { testTarget } from "./fixtures.js";
 import { type SimulatedAnswer } from "./SimulatedAnswer.js";
 import { SimulatedRouter, streamRoute } from "./SimulatedRouter.js";
+import { SimulatedStore } from "./SimulatedStore.js";
 import { simulatedEvents, SimulatedTarget } from "./SimulatedTarget.js";
-import { WatchedTable } from "./WatchedTable.js";
 
 /** Options of {@link StreamSite}. */
 export interface StreamSiteOptions {
@@ -42,7 +42,7 @@
         this.router = new SimulatedRouter({
             clock: this.clock,
             dataCentre: "dc-0",
-            store: new WatchedTable(this.clock),
+            store: new SimulatedStore(this.clock),
             targetAt: port => this.targetAt(port),
             retryReserve,
         });
--- a/packages/gateway/src/lib/testing/fixtures.ts
+++ b/packages/gateway/src/lib/testing/fixtures.ts
@@ -30,7 +30,7 @@
 }
 
 /** The report of a healthy target. */
-export const wellReport: EngineReport = {
+export const healthyReport: EngineReport = {
     isBusy: false,
     orders: 1,
     layers: { first: 0, end: 40 },
