--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * An HTTP gateway to targets that run a chain of layer ranges by themselves, and to plain services.
+ * An HTTP gateway for model services, whose targets form chains of layer ranges and forward requests along them
+ * themselves, and for plain services.
  *
  * @packageDocumentation
  */
@@ -23,7 +24,7 @@
 export { type DecodedTarget } from "./lib/directory/TargetList.js";
 export { Gateway, type GatewayOptions, type PlatformTables } from "./lib/Gateway.js";
 export { type Address, type GatewaySettings } from "./lib/GatewaySettings.js";
-export { listMechanisms, type Mechanism, type MechanismSwitch, switchOff } from "./lib/Mechanisms.js";
+export { listMechanisms, type Mechanism, type MechanismSwitch, parseDisabledMechanisms } from "./lib/Mechanisms.js";
 export { LogDestination, type LogDestinationOptions } from "./lib/observation/LogDestination.js";
 export { GatewayMetrics, type Logs } from "./lib/observation/Observation.js";
 export {
--- a/packages/gateway/src/lib/testing/SimulatedRouter.ts
+++ b/packages/gateway/src/lib/testing/SimulatedRouter.ts
@@ -7,7 +7,7 @@
 import { type Route } from "../configuration/Configuration.js";
 import { CrashParts } from "../crashes/CrashParts.js";
 import { TargetDirectory } from "../directory/TargetDirectory.js";
-import { allMechanisms } from "../Mechanisms.js";
+import { allMechanismsOn } from "../Mechanisms.js";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { CallerExchange } from "../requests/CallerExchange.js";
 import { CallerLinkMonitor } from "../requests/CallerLinkMonitor.js";
@@ -16,7 +16,7 @@
 import { RetryBudget } from "../requests/RetryBudget.js";
 import { StreamRun } from "../requests/StreamRun.js";
 import { type Store } from "../store/Store.js";
-import { silentLogs, testEngine, wellReport } from "./fixtures.js";
+import { healthyReport, silentLogs, testEngine } from "./fixtures.js";
 import { SimulatedAnswer } from "./SimulatedAnswer.js";
 import { refusalStatus, type SimulatedTarget } from "./SimulatedTarget.js";
 
@@ -26,15 +26,15 @@
     readonly dataCentre: string;
     readonly store: Store;
     readonly targetAt: (port: number) => SimulatedTarget;
-    /** Requests of other gateways in flight on chains that begin at a target. */
+    /** Other gateways' requests in flight on chains whose head is the given target. */
     readonly peerLoad?: (headId: string) => number;
-    /** How many gateways share the reserve of the retry budget. */
+    /** Number of gateways that share the reserve of the retry budget. */
     readonly gateways?: () => number;
-    /** Repeats that all gateways together may send in ten seconds, beyond a fifth of their requests. */
+    /** Retries that all gateways together may send in ten seconds beyond a fifth of their requests. */
     readonly retryReserve?: number;
 }
 
-/** A route for streams that may go on over another chain. */
+/** A route for streams that may be resumed on another chain. */
 export const streamRoute: Route = {
     name: "chat",
     hostname: "a.example",
@@ -49,7 +49,7 @@
     isPublic: false,
 };
 
-/** Only refusals matter on the wire here. */
+/** A wire format that recognises only the simulated targets' refusals. */
 const wire: WireFormat = {
     readCallerRequest: () => {
         throw new Error("not used");
@@ -96,7 +96,7 @@
             paces: new TargetPaces(clock),
             peerLoad,
             engines: {
-                fetchReport: ({ port }) => Promise.resolve(targetAt(port).givesReports ? wellReport : undefined),
+                fetchReport: ({ port }) => Promise.resolve(targetAt(port).givesReports ? healthyReport : undefined),
                 place: () => Promise.resolve({ kind: "held" }),
             },
             observation,
@@ -109,12 +109,12 @@
             connectTimeout: 450,
             crashes: this.crashes,
             openExchange: exchange => targetAt(exchange.port).open(exchange),
-            isOn: allMechanisms,
+            isOn: allMechanismsOn,
             targetListAge: () => this.directory.age,
         };
     }
 
-    /** Takes a caller's request. */
+    /** Starts a caller's request. */
     start(body: string, route = streamRoute): SimulatedAnswer {
         const { clock } = this.options;
         const { observation } = this.context;
