--- a/packages/gateway/src/lib/crashes/CrashCounts.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashCounts.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { CrashCounts } from "./CrashCounts.js";
 
-test("what was seen here and what others tell adds up, until the request runs well", () => {
+test("crashes seen here and reported by others add up until the request runs without a crash", () => {
     const counts = new CrashCounts(new ManualClock(1));
     counts.add("a");
     counts.add("a");
@@ -14,7 +14,7 @@
     assert.equal(counts.of("a"), 1);
 });
 
-test("what others told once still counts when their next heartbeat has no room for it", () => {
+test("crashes reported by others still count when the next heartbeat omits them", () => {
     const counts = new CrashCounts(new ManualClock(1));
     counts.hear({ a: 3 });
     counts.hear({ b: 1 });
@@ -22,14 +22,14 @@
     assert.equal(counts.of("a"), 3);
 });
 
-test("requests that crashed most targets over all gateways are told first", () => {
+test("requests with the most crashes over all gateways are reported first", () => {
     const counts = new CrashCounts(new ManualClock(1));
     ["a", "b", "c", "c"].forEach(digest => counts.add(digest));
     counts.hear({ a: 4 });
     assert.deepEqual(Object.keys(counts.listSeen()), ["a", "c", "b"]);
 });
 
-test("a request without further crashes is forgotten after ten minutes", () => {
+test("a request without further crashes is removed after ten minutes", () => {
     const clock = new ManualClock(1);
     const counts = new CrashCounts(clock);
     counts.add("a");
--- a/packages/gateway/src/lib/crashes/CrashCounts.ts
+++ b/packages/gateway/src/lib/crashes/CrashCounts.ts
@@ -1,27 +1,30 @@
 import { type Clock } from "@waxwingspar/utils";
 import { LRUCache } from "lru-cache";
 
-/** Requests that are remembered; after a crash each that ran on the target is, most of them for a moment only. */
-const mostRemembered = 1_000;
-/** Milliseconds without a further crash after which a request is forgotten: its caller will not come back then. */
-const forgetTime = 600_000;
+/**
+ * Maximum number of tracked requests. A crash adds every request that ran on the target; most of them are cleared soon.
+ */
+const maxRemembered = 1_000;
+/** Milliseconds without a further crash after which a request is removed: its caller does not retry after that time. */
+const retentionTime = 600_000;
 
 /**
- * How many targets crashed under each request, by its digest: as this process saw it, and as the other gateways tell in
- * their heartbeats. No crash is counted twice, as each gateway tells of its own runs only.
+ * Counts the targets that crashed while running a request, by the digest of the request: crashes seen by this process,
+ * and those reported by other gateways in their heartbeats. No crash is counted twice, since each gateway reports only
+ * its own runs.
  */
 export class CrashCounts {
     private readonly seen: LRUCache<string, number>;
     /**
-     * The most that the others ever told together. Heartbeats hold few requests, so what they told once may be missing in the
-     * next; a request that ran well meanwhile is cleared by what the store holds of it.
+     * The highest sum that the other gateways have reported. A heartbeat holds few requests, so a count may be missing
+     * from the next one. A request that has since run without a crash is cleared by its record in the store.
      */
     private readonly told: LRUCache<string, number>;
 
     constructor(clock: Clock) {
         const options = {
-            max: mostRemembered,
-            ttl: forgetTime,
+            max: maxRemembered,
+            ttl: retentionTime,
             ttlResolution: 0,
             perf: { now: () => clock.now() },
         };
@@ -29,47 +32,47 @@
         this.told = new LRUCache(options);
     }
 
-    /** A target crashed under a run of the request here. */
+    /** Records that a target crashed while running the request for this process. */
     add(digest: string): void {
         this.seen.set(digest, (this.seen.get(digest) ?? 0) + 1);
     }
 
-    /** The request ran well here, which none does that crashes targets. */
+    /** Removes the crashes seen here, because the request ran without a crash, so it is not the cause of crashes. */
     clear(digest: string): void {
         this.seen.delete(digest);
     }
 
-    /** Takes what all other gateways together tell. */
+    /** Records the sums that the other gateways report. */
     hear(counts: Readonly<Record<string, number>>): void {
         for (const [digest, count] of Object.entries(counts)) {
             this.told.set(digest, Math.max(count, this.told.get(digest) ?? 0));
         }
     }
 
-    /** Whether no crash under a request is known, here or from others. */
+    /** Whether no crash is known, neither seen here nor reported by other gateways. */
     get isEmpty(): boolean {
         return this.seen.size === 0 && this.told.size === 0;
     }
 
-    /** Whether a target crashed under the request here. */
+    /** Whether a target crashed while running the request for this process. */
     hasSeen(digest: string): boolean {
         return this.seen.has(digest);
     }
 
-    /** Crashes under the request, over all gateways. */
+    /** Returns the number of crashes of the request over all gateways. */
     of(digest: string): number {
         const { seen, told } = this.parts(digest);
         return seen + told;
     }
 
-    /** How many of them were seen here, and told by others. */
+    /** Returns the crashes of the request that were seen here (`seen`) and reported by other gateways (`told`). */
     parts(digest: string): { readonly seen: number; readonly told: number; } {
         return { seen: this.seen.get(digest) ?? 0, told: this.told.get(digest) ?? 0 };
     }
 
     /**
-     * What this process has to tell: first the requests under which most targets crashed over all gateways, so that all tell of the
-     * same ones, and of equal ones those that were seen last.
+     * Returns the crashes seen here, to be reported to other gateways. Requests with the most crashes over all gateways
+     * come first, so that all gateways report the same requests; for equal counts, the most recent crash comes first.
      */
     listSeen(): Record<string, number> {
         const ranked = [...this.seen.entries()].map(([digest, count]) => ({ digest, count, rank: this.of(digest) }));
--- a/packages/gateway/src/lib/crashes/CrashGuard.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.test.ts
@@ -32,7 +32,7 @@
     });
     const crash = (times: number, cut: Partial<CutRun> = {}) => {
         for (let time = 0; time < times; time++) {
-            guard.noteCrash([{ ...run, ...cut }]);
+            guard.recordCrash([{ ...run, ...cut }]);
         }
     };
     const request = async (digest = "a", canSend = () => true): Promise<HoldBack | undefined> => {
@@ -59,13 +59,13 @@
     assert.equal(guard.standing("a"), "suspect");
 });
 
-test("a request whose reply was well under way has not crashed its target", () => {
+test("a request whose reply had started long enough ago did not cause the crash", () => {
     const { guard, crash } = createGuard();
     crash(5, { replyAge: 300 });
     assert.equal(guard.standing("a"), "free");
 });
 
-test("two runs that crash their targets as well condemn it", async () => {
+test("a suspect is condemned after two more runs that crash their targets", async () => {
     const { guard, crash, request } = createGuard();
     crash(3);
     for (const retrial of [1, 2]) {
@@ -77,7 +77,7 @@
     assert.equal(guard.standing("a"), "condemned");
 });
 
-test("one run that goes well excuses it, and as many crashes as at first make it suspect again", async () => {
+test("one successful run excuses a suspect, which becomes suspect again after as many crashes as before", async () => {
     const { clock, guard, crash, request } = createGuard();
     crash(3);
     await request();
@@ -97,16 +97,16 @@
     crash(3, { digest: "b" });
     assert.equal(await request("a"), undefined);
     const waiting = guard.requestRetrial("b", () => true);
-    let isHeard = false;
-    void waiting.then(() => isHeard = true);
+    let isAnswered = false;
+    void waiting.then(() => isAnswered = true);
     await clock.advanceAsync(1_000);
-    assert.equal(isHeard, false);
+    assert.equal(isAnswered, false);
     guard.endTurn();
     await clock.advanceAsync(100);
     assert.equal(await waiting, undefined);
 });
 
-test("a suspect that has no turn in time is told to come back", async () => {
+test("a suspect that gets no turn in time is refused with a time to retry", async () => {
     const { clock, guard, crash, request } = createGuard();
     crash(3);
     await request("a");
@@ -117,18 +117,18 @@
     assert.equal(await request("a"), undefined);
 });
 
-test("a run that could not begin is not used up", async () => {
+test("a run that could not start is not used up", async () => {
     const { guard, crash, request } = createGuard();
     crash(3);
     for (let time = 0; time < 5; time++) {
-        assert.match((await request("a", () => false))?.reason ?? "", /none is left/);
+        assert.match((await request("a", () => false))?.reason ?? "", /no other target is available/);
     }
     assert.equal(await request(), undefined);
     guard.endTurn();
     assert.equal(await request(), undefined);
 });
 
-test("while the store is away a suspect does not run, and others do", async () => {
+test("while the store is unavailable, suspects do not run, but other requests do", async () => {
     const { clock, store, guard, crash } = createGuard();
     crash(3);
     store.setDown(true);
@@ -138,7 +138,7 @@
     assert.equal(guard.standing("b"), "free");
 });
 
-test("crashes that other gateways wrote down are known after a target is gone", async () => {
+test("crashes recorded by other gateways are read after a ready target was removed", async () => {
     const { clock, store, counts, guard } = createGuard();
     store.put("a", { crashes: 3, retrials: 0, writtenAt: clock.now() });
     guard.noteTarget({ kind: "removed", target: run.target });
@@ -153,20 +153,20 @@
     assert.equal(guard.standing("a"), "suspect");
 });
 
-test("of a crash that cut many young runs off, only those are written down that were cut before", async () => {
+test("of a crash that interrupted many runs, only those of requests interrupted before are recorded", async () => {
     const { clock, records, guard } = createGuard();
-    const crowd = ["a", "b", "c", "d", "e", "f", "g"].map(digest => ({ ...run, digest }));
-    guard.noteCrash(crowd);
+    const interruptedRuns = ["a", "b", "c", "d", "e", "f", "g"].map(digest => ({ ...run, digest }));
+    guard.recordCrash(interruptedRuns);
     await clock.advanceAsync(50);
     assert.equal(records.get("a"), undefined);
-    guard.noteCrash(crowd.slice(0, 1));
-    guard.noteCrash(crowd);
+    guard.recordCrash(interruptedRuns.slice(0, 1));
+    guard.recordCrash(interruptedRuns);
     await clock.advanceAsync(50);
     assert.equal(records.get("a")?.crashes, 2);
     assert.equal(records.get("b")?.crashes, 1);
 });
 
-test("a request that used its runs up stays refused where its crashes were forgotten", async () => {
+test("a request that used up its runs stays refused after its crashes are forgotten", async () => {
     const { clock, store, records, guard } = createGuard();
     store.put("a", { crashes: 0, retrials: 2, writtenAt: clock.now() });
     records.start();
--- a/packages/gateway/src/lib/crashes/CrashGuard.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.ts
@@ -13,39 +13,50 @@
     readonly observation: Observation;
 }
 
-/** Whether a request may be sent. */
-export type Standing =
+/** Whether a request may be sent, given the crashes of targets that ran it. */
+export type CrashStatus =
+    /** It may be sent. */
     | "free"
-    /** So many targets crashed under it that it may run only alone, and a few times. */
+    /** It may have caused crashes, so it is sent only while no other suspect runs, and only a few times. */
     | "suspect"
-    /** It has used these runs up. */
+    /** It has used up the runs of a suspect and is refused. */
     | "condemned";
 
 /** Why a request may not be sent. */
 export interface HoldBack {
     readonly reason: string;
-    /** Milliseconds after which its caller may come back; undefined when that is of no use. */
+    /** Milliseconds after which the caller may retry; undefined when a retry is pointless. */
     readonly retryAfter: number | undefined;
 }
 
-/** Crashes after which a request is suspect. The promise to targets begins with the third. */
-const crashesToSuspect = 3;
-/** Young runs that a crash cuts off here up to which each may well be its cause. */
-const fewRuns = 6;
-/** Milliseconds of a reply after which its run has gone well: a request that crashes targets does so soon after it begins to run. */
+/**
+ * Number of crashes from which a request is suspect; the guarantee of at most three more runs starts with the third.
+ */
+const suspectThreshold = 3;
+/**
+ * Maximum number of runs without a reply that a crash interrupts for each of them to be recorded as a possible cause.
+ */
+const maxRecordedRuns = 6;
+/**
+ * Milliseconds after the start of a reply from which the run counts as successful: a request that crashes targets does
+ * so soon after it starts to run.
+ */
 export const settleTime = 300;
-/** Milliseconds for which a suspect waits for its turn: callers abandon a stream that is silent for two seconds. */
-const turnPatience = 1_500;
-/** Milliseconds after which a caller may come back that had no turn, and one that the store could not judge. */
+/** Milliseconds for which a suspect waits for its turn: callers abandon a stream that is silent for 2 s. */
+const turnTimeout = 1_500;
+/** Milliseconds after which a caller may retry: after its request got no turn, or while the store was unavailable. */
 const turnRetryAfter = 500;
 const storeRetryAfter = 1_000;
-/** Milliseconds after which a caller may come back that found no target: one that crashed is back after some seconds. */
+/**
+ * Milliseconds after which a caller may retry when no target was available: a crashed target restarts within seconds.
+ */
 const noTargetRetryAfter = 1_500;
 
 /**
- * Keeps a request that crashes the targets which run it from crashing more of them. All requests on a target are cut off when
- * it crashes, and their callers come back as well, so crashes alone convict nobody: from the third one on a request gets two more
- * runs, alone among the suspects of this gateway. One that runs well is excused; one that crashes these targets too is refused.
+ * Limits the number of targets that a request can crash. A crash interrupts all requests on the target, and the callers
+ * of harmless ones retry as well, so crashes alone do not identify the cause. From its third crash on, a request gets
+ * two more runs, during which this gateway runs no other suspect. It is excused if one of them succeeds, and refused
+ * (condemned) if both crash their targets.
  */
 export class CrashGuard {
     private isTurnTaken = false;
@@ -53,8 +64,8 @@
 
     constructor(private readonly options: CrashGuardOptions) {}
 
-    /** Whether a request may be sent, as far as is known here. */
-    standing(digest: string): Standing {
+    /** Returns whether a request may be sent, according to the crashes that this process knows of. */
+    standing(digest: string): CrashStatus {
         const { records } = this.options;
         if (!this.isSuspect(digest, records.get(digest))) {
             return "free";
@@ -63,18 +74,20 @@
     }
 
     /**
-     * A target crashed under runs of this gateway. Of a crash that cut few young runs off each is written down; of one that cut
-     * many, those that were cut like that before: nearly all of the others had no part in it, and each write is a call to the store.
+     * Records a crash of a target that interrupted runs of this gateway. Runs whose reply had started long enough ago
+     * are left out. If the crash interrupted few runs without a reply, each of them is written to the store; otherwise
+     * only requests that were interrupted by a crash before, since nearly all others are not the cause, and each write
+     * is a call to the store.
      */
-    noteCrash(runs: readonly CutRun[]): void {
+    recordCrash(runs: readonly CutRun[]): void {
         const { counts, records, observation } = this.options;
-        const young = runs.filter(({ replyAge }) => replyAge === undefined || replyAge < settleTime);
-        const silent = young.filter(({ replyAge }) => replyAge === undefined);
-        for (const { digest, request, replyAge } of young) {
+        const suspectRuns = runs.filter(({ replyAge }) => replyAge === undefined || replyAge < settleTime);
+        const withoutReply = suspectRuns.filter(({ replyAge }) => replyAge === undefined);
+        for (const { digest, request, replyAge } of suspectRuns) {
             const wasFree = this.standing(digest) === "free";
             const isRepeated = counts.hasSeen(digest);
             counts.add(digest);
-            if (isRepeated || (replyAge === undefined && silent.length <= fewRuns)) {
+            if (isRepeated || (replyAge === undefined && withoutReply.length <= maxRecordedRuns)) {
                 void records.addCrash(digest);
             }
             if (wasFree && this.standing(digest) !== "free") {
@@ -88,8 +101,8 @@
     }
 
     /**
-     * A target that is gone or has started again without having left may have crashed, and other gateways may know under what. Where
-     * no crash was heard of at all, targets come and go for other reasons, and reading is not worth its calls.
+     * Reads the records of other gateways when a target was removed or restarted without draining, since it may have
+     * crashed. While no crash is known at all, targets change for other reasons, and the read is skipped.
      */
     noteTarget({ kind, target }: DirectoryChange): void {
         const { counts, records } = this.options;
@@ -99,7 +112,7 @@
         }
     }
 
-    /** The request ran well. */
+    /** Records that the request ran without a crash. */
     noteWell(digest: string): void {
         const { counts, records } = this.options;
         if (this.standing(digest) !== "free") {
@@ -110,18 +123,24 @@
     }
 
     /**
-     * Asks for a run of a suspect. One that gets it must give its turn back with {@link CrashGuard.endTurn}.
+     * Requests a further run for a suspect. A granted run must be ended with {@link CrashGuard.endTurn}.
      *
-     * @param canSend - Whether the run could begin now; else none is used up.
-     * @returns Why it may not run, or undefined when it may.
+     * @param canSend - Whether the run could start now; if not, none is used up.
+     * @returns Why the request may not run; undefined when the run is granted.
      */
     async requestRetrial(digest: string, canSend: () => boolean): Promise<HoldBack | undefined> {
         if (!await this.takeTurn()) {
-            return { reason: "targets crashed under it, and others are tried before it", retryAfter: turnRetryAfter };
+            return {
+                reason: "targets crashed while running this request, and other such requests run first",
+                retryAfter: turnRetryAfter,
+            };
         }
         if (!canSend()) {
             this.endTurn();
-            return { reason: "targets crashed under it, and none is left to try it", retryAfter: noTargetRetryAfter };
+            return {
+                reason: "targets crashed while running this request, and no other target is available",
+                retryAfter: noTargetRetryAfter,
+            };
         }
         const verdict = await this.options.records.grant(digest, record => this.isSuspect(digest, record));
         this.log(digest, verdict);
@@ -130,17 +149,17 @@
         }
         this.endTurn();
         return verdict === "condemned" ? this.condemned : {
-            reason: "targets crashed under it, and the store cannot tell whether it may run",
+            reason: "targets crashed while running this request, and the store that counts its runs is unavailable",
             retryAfter: storeRetryAfter,
         };
     }
 
-    /** For requests that crashed targets as often as they were tried. */
+    /** The refusal of a condemned request. */
     get condemned(): HoldBack {
         return { reason: "every target that ran it crashed", retryAfter: undefined };
     }
 
-    /** The run of a suspect is over, or goes well. */
+    /** Ends the turn of a suspect, after its run has ended or counts as successful. */
     endTurn(): void {
         const next = this.waiting.shift();
         if (next === undefined) {
@@ -150,7 +169,7 @@
         next();
     }
 
-    /** @returns False when the turn did not come in time. */
+    /** Waits until no other suspect runs. @returns False after the timeout. */
     private takeTurn(): Promise<boolean> {
         if (!this.isTurnTaken) {
             this.isTurnTaken = true;
@@ -164,20 +183,20 @@
             const timer = this.options.clock.schedule(() => {
                 this.waiting.splice(this.waiting.indexOf(take), 1);
                 resolve(false);
-            }, turnPatience);
+            }, turnTimeout);
             this.waiting.push(take);
         });
     }
 
-    /** One that was granted a run and not excused stays suspect, also where its crashes are forgotten. */
+    /** A request that was granted a run and not excused stays suspect, even if its crashes are no longer known here. */
     private isSuspect(digest: string, record: CrashRecord | undefined): boolean {
         if (record !== undefined && record.retrials > 0) {
             return true;
         }
-        return this.crashesOf(digest, record) - (record?.excused ?? 0) >= crashesToSuspect;
+        return this.crashesOf(digest, record) - (record?.excused ?? 0) >= suspectThreshold;
     }
 
-    /** What gateways tell each other comes within a second; what the store holds outlasts them, and needs no peer. */
+    /** Heartbeats spread counts within a second; records in the store survive restarts and do not depend on peers. */
     private crashesOf(digest: string, record = this.options.records.get(digest)): number {
         return Math.max(this.options.counts.of(digest), record?.crashes ?? 0);
     }
--- a/packages/gateway/src/lib/crashes/CrashParts.ts
+++ b/packages/gateway/src/lib/crashes/CrashParts.ts
@@ -19,7 +19,7 @@
     readonly observation: Observation;
 }
 
-/** What a gateway needs against requests that crash targets, put together. */
+/** Components that protect targets against requests which crash them. */
 export class CrashParts {
     readonly counts: CrashCounts;
     readonly records: CrashRecords;
@@ -34,7 +34,7 @@
             directory,
             refusesConnections,
             observation,
-            onCrash: runs => this.guard.noteCrash(runs),
+            onCrash: runs => this.guard.recordCrash(runs),
         });
     }
 }
--- a/packages/gateway/src/lib/crashes/CrashRecords.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashRecords.test.ts
@@ -17,9 +17,9 @@
 function createSite() {
     const clock = new ManualClock(1_000_000);
     const store = new SimulatedStore(clock);
-    const createTable = () => new CrashRecords({ clock, store, logger: silentLogs().requests });
+    const createRecords = () => new CrashRecords({ clock, store, logger: silentLogs().requests });
     const started = async () => {
-        const table = createTable();
+        const table = createRecords();
         table.start();
         await clock.advanceAsync(50);
         return table;
@@ -29,12 +29,12 @@
         await clock.advanceAsync(2_000);
         return verdict;
     };
-    return { clock, store, createTable, started, grant };
+    return { clock, store, createRecords, started, grant };
 }
 
 test("a request gets two runs over all gateways, and none after that", async () => {
-    const { createTable, grant } = createSite();
-    const [first, second] = [createTable(), createTable()];
+    const { createRecords, grant } = createSite();
+    const [first, second] = [createRecords(), createRecords()];
     assert.equal(await grant(first), "granted");
     assert.equal(await grant(second), "granted");
     assert.equal(await grant(first), "condemned");
@@ -42,32 +42,32 @@
     assert.equal(first.isCondemned("a"), true);
 });
 
-test("gateways that ask at the same moment get two runs together", async () => {
-    const { clock, createTable } = createSite();
-    const verdicts = Promise.all([1, 2, 3, 4].map(() => createTable().grant("a", anyRecord)));
+test("gateways that request runs at the same time are granted two in total", async () => {
+    const { clock, createRecords } = createSite();
+    const verdicts = Promise.all([1, 2, 3, 4].map(() => createRecords().grant("a", anyRecord)));
     await clock.advanceAsync(200);
     assert.deepEqual((await verdicts).sort(), ["condemned", "condemned", "granted", "granted"]);
 });
 
-test("a gateway that starts knows what was written before", async () => {
-    const { createTable, started, grant } = createSite();
-    const old = createTable();
+test("a gateway reads existing records at its start", async () => {
+    const { createRecords, started, grant } = createSite();
+    const old = createRecords();
     await grant(old);
     await grant(old);
     assert.equal((await started()).isCondemned("a"), true);
 });
 
-test("while the store does not answer, no run is granted, and one that may have been counted counts", async () => {
-    const { store, createTable, grant } = createSite();
-    const table = createTable();
+test("while the store is unavailable, no run is granted", async () => {
+    const { store, createRecords, grant } = createSite();
+    const table = createRecords();
     store.setDown(true);
     assert.equal(await grant(table), "unavailable");
     store.setDown(false);
     assert.equal(await grant(table), "granted");
 });
 
-test("a write whose reply is lost counts as a run", async () => {
-    const { clock, store, createTable, grant } = createSite();
+test("a grant whose reply is lost still uses up a run", async () => {
+    const { clock, store, createRecords, grant } = createSite();
     const lossy = new CrashRecords({
         clock,
         store: {
@@ -82,23 +82,23 @@
         logger: silentLogs().requests,
     });
     assert.equal(await grant(lossy), "unavailable");
-    const other = createTable();
+    const other = createRecords();
     assert.equal(await grant(other), "granted");
     assert.equal(await grant(other), "condemned");
 });
 
-test("a request that ran well is excused at all gateways", async () => {
-    const { clock, createTable, grant } = createSite();
-    const [first, second] = [createTable(), createTable()];
+test("a request that ran without a crash is excused at all gateways", async () => {
+    const { clock, createRecords, grant } = createSite();
+    const [first, second] = [createRecords(), createRecords()];
     await grant(first);
     void first.excuse("a", 3);
     await clock.advanceAsync(100);
     assert.equal(await grant(second, unlessExcused), "excused");
 });
 
-test("a record counts for an hour, and the next gateway that starts removes it", async () => {
-    const { clock, store, createTable, started, grant } = createSite();
-    const table = createTable();
+test("a record expires after an hour, and the next gateway that starts removes it", async () => {
+    const { clock, store, createRecords, started, grant } = createSite();
+    const table = createRecords();
     await grant(table);
     await grant(table);
     clock.advance(hour);
@@ -111,17 +111,17 @@
     assert.deepEqual(result.kind === "read" && result.rows, []);
 });
 
-test("crashes that several gateways write at the same moment add up", async () => {
-    const { clock, createTable } = createSite();
-    const tables = [1, 2, 3].map(createTable);
+test("crashes that several gateways record at the same time add up", async () => {
+    const { clock, createRecords } = createSite();
+    const tables = [1, 2, 3].map(createRecords);
     tables.forEach(table => void table.addCrash("a"));
     await clock.advanceAsync(200);
     assert.equal(Math.max(...tables.map(table => table.get("a")?.crashes ?? 0)), 3);
 });
 
-test("crashes that the store did not take are written once it is back", async () => {
-    const { clock, store, createTable, started } = createSite();
-    const table = createTable();
+test("crashes that could not be written are written once the store is available again", async () => {
+    const { clock, store, createRecords, started } = createSite();
+    const table = createRecords();
     store.setDown(true);
     void table.addCrash("a");
     void table.addCrash("a");
@@ -131,9 +131,9 @@
     assert.equal((await started()).get("a")?.crashes, 2);
 });
 
-test("a series of crashes costs one read of the table in two seconds", async () => {
-    const { clock, store, createTable } = createSite();
-    const table = createTable();
+test("during a series of crashes, the table is read once in two seconds", async () => {
+    const { clock, store, createRecords } = createSite();
+    const table = createRecords();
     table.start();
     await clock.advanceAsync(100);
     store.put("a", { crashes: 3, retrials: 0, writtenAt: clock.now() });
@@ -144,7 +144,7 @@
     assert.equal(table.get("a")?.crashes, 3);
 });
 
-test("retrials that a copy of the store lacks are written again, by each that knows of them", async () => {
+test("retrials that a restored copy of the store lacks are written again by gateways that know of them", async () => {
     const { clock, store, grant } = createSite();
     const createFollower = () => {
         const eras = new StoreEras();
@@ -170,7 +170,7 @@
     assert.equal(await grant(second), "condemned");
 });
 
-test("a row of another format says nothing", async () => {
+test("a row of another format is ignored", async () => {
     const { store, started } = createSite();
     store.put("a", { retrials: "many" });
     store.put("b", undefined);
--- a/packages/gateway/src/lib/crashes/CrashRecords.ts
+++ b/packages/gateway/src/lib/crashes/CrashRecords.ts
@@ -6,28 +6,28 @@
 import { type StoreEras } from "../store/StoreEras.js";
 
 const recordSchema = z.object({
-    /** Targets that crashed under the request, as far as gateways wrote it down. */
+    /** Number of targets that crashed while running the request, as recorded by the gateways. */
     crashes: z.number(),
-    /** Runs that were granted since it became suspect. */
+    /** Number of runs that were granted since the request became suspect or was last excused. */
     retrials: z.number(),
-    /** How many of these crashes were not its fault, by a run without one; undefined before such a run. */
+    /** Number of crashes that no longer count because the request ran without one; undefined before such a run. */
     excused: z.optional(z.number()),
-    /** When the record was written last, in milliseconds since 1970. */
+    /** When the record was last written, in milliseconds since 1970. */
     writtenAt: z.number(),
 });
 
-/** What the store holds of a request that targets crashed under. */
+/** Record in the store of a request whose runs were interrupted by crashes of targets. */
 export type CrashRecord = z.infer<typeof recordSchema>;
 
-/** Whether one more run is allowed. */
+/** Whether a suspect may run once more. */
 export type RetrialVerdict =
     /** This process may send the request once. */
     | "granted"
-    /** It ran without a crash meanwhile, at another gateway. */
+    /** The request has run without a crash at another gateway since. */
     | "excused"
-    /** All runs that it could get are used up. */
+    /** All runs of the request are used up. */
     | "condemned"
-    /** The store cannot tell now. */
+    /** The store is unavailable. */
     | "unavailable";
 
 /** Options of {@link CrashRecords}. */
@@ -44,43 +44,46 @@
 
 const table = "crashing-requests";
 /**
- * Runs that a request gets for good after the crashes that made it suspect. One may meet another one's crash; two in a row hardly
- * do. The promise is three.
+ * Total number of runs that a request gets after the crashes that made it suspect. One run may be interrupted by a
+ * crash that another request caused; two in a row are unlikely to. The guaranteed limit is three.
  */
-const mostRetrials = 2;
-/** Milliseconds since it was written after which a record counts no more: callers do not repeat a request for so long. */
+const maxRetrials = 2;
+/** Milliseconds since its last write after which a record expires: callers do not retry a request for that long. */
 const lifetime = 3_600_000;
-/** The same for one without a retrial: most requests that were on a target as it crashed never come back. */
+/** The same for a record without a retrial: most requests that were interrupted by a crash are never sent again. */
 const idleLifetime = 600_000;
-/** Writes that are tried against other gateways' writes to the same record. */
-const mostTries = 6;
-const mostKnown = 1_000;
-/** Rows that one process removes at its start, so that many which start at once do not crowd the store. */
-const mostRemoved = 20;
-/** Milliseconds between two reads of the table, so that a series of crashes does not crowd the store. */
+/** Maximum number of attempts of a write that conflicts with writes of other gateways. */
+const maxWriteAttempts = 6;
+const maxKnown = 1_000;
+/**
+ * Maximum number of rows that a process removes at its start, so that many simultaneous starts do not overload the
+ * store.
+ */
+const maxRemoved = 20;
+/** Milliseconds between two reads of the table, so that a series of crashes does not overload the store. */
 const readInterval = 2_000;
 
-const noCrash: CrashRecord = { crashes: 0, retrials: 0, writtenAt: 0 };
+const emptyRecord: CrashRecord = { crashes: 0, retrials: 0, writtenAt: 0 };
 
 /**
- * Counts, in the store, the crashes under requests and the runs that they got since. All gateways keep to one count, also those
- * that start anew and those that hear no other one; where the store does not answer, no run is granted.
+ * Counts crashes by request, and the runs granted since, in the store. All gateways share these counts, including
+ * restarted ones and those without contact to peers. While the store does not answer, no run is granted.
  */
 export class CrashRecords {
-    private readonly known = new LRUCache<string, KnownRecord>({ max: mostKnown });
-    /** Crashes that the store has not taken yet, by digest. */
+    private readonly known = new LRUCache<string, KnownRecord>({ max: maxKnown });
+    /** Crashes that are not yet written to the store, by digest. */
     private readonly unwritten = new Map<string, number>();
-    /** Records that a copy may lack, and that are written again where it does. */
+    /** Records that a store restored from a copy may lack; they are written again if it does. */
     private readonly lost = new Set<string>();
     private nextRead = -Infinity;
-    private isReadDue = false;
+    private isReadScheduled = false;
     private isStopped = false;
 
     constructor(private readonly options: CrashRecordsOptions) {
-        options.eras?.onRise(() => this.startAnew());
+        options.eras?.onRise(() => this.handleRestoredStore());
     }
 
-    /** Reads what gateways wrote before this one started. */
+    /** Reads the records that were written before this process started. */
     start(): void {
         this.refresh(true);
     }
@@ -89,57 +92,57 @@
         this.isStopped = true;
     }
 
-    /** What is known here; undefined when nothing is, or it is too old to count. */
+    /** Returns the record of a request as last read or written; undefined when there is none or it has expired. */
     get(digest: string): CrashRecord | undefined {
         const record = this.known.get(digest);
         return record === undefined || this.isOutdated(record) ? undefined : record;
     }
 
-    /** Whether the request has had all its runs, as far as is known here. */
+    /** Whether the request has used up its runs, according to the record known here. */
     isCondemned(digest: string): boolean {
-        return (this.get(digest)?.retrials ?? 0) >= mostRetrials;
+        return (this.get(digest)?.retrials ?? 0) >= maxRetrials;
     }
 
-    /** Writes a crash under a request down, or does so once the store answers. */
+    /** Records a crash of a request in the store, or once the store answers again. */
     async addCrash(digest: string): Promise<void> {
         this.unwritten.set(digest, (this.unwritten.get(digest) ?? 0) + 1);
         await this.writeCrashes(digest);
     }
 
-    /** Reads what other gateways wrote, as a target has crashed: at once, or when the last read is some time ago. */
+    /** Reads the records of other gateways after a target has crashed, as soon as the interval between reads allows. */
     refresh(isFirst = false): void {
-        if (this.isReadDue || this.isStopped) {
+        if (this.isReadScheduled || this.isStopped) {
             return;
         }
-        this.isReadDue = true;
+        this.isReadScheduled = true;
         const { clock } = this.options;
         clock.schedule(() => void this.read(isFirst), Math.max(0, this.nextRead - clock.now()));
     }
 
     /**
-     * Asks for one more run of a request.
+     * Requests one more run of a request.
      *
-     * @param isSuspect - Whether a record makes it suspect: another gateway may have written that it ran well.
+     * @param isSuspect - Whether a record makes the request suspect: another gateway may have excused it.
      */
     async grant(digest: string, isSuspect: (record: CrashRecord) => boolean): Promise<RetrialVerdict> {
         let verdict: RetrialVerdict = "granted";
         const result = await this.change(digest, record => {
-            verdict = this.judge(record, isSuspect);
+            verdict = this.decide(record, isSuspect);
             return verdict === "granted" ? { retrials: record.retrials + 1 } : undefined;
         });
         return result === "failed" ? "unavailable" : verdict;
     }
 
-    /** The request ran well: so many crashes were not its fault, and it may run as often as before. */
+    /** Records that the request ran without a crash: its crashes so far no longer count, nor do its granted runs. */
     async excuse(digest: string, crashes: number): Promise<void> {
         await this.change(digest, () => ({ crashes, retrials: 0, excused: crashes }));
     }
 
     /**
-     * The store went back to a copy, which may lack retrials that were granted. What is known here is kept, without its version, and
-     * joined with what the store holds; the larger count is right.
+     * Handles that the store was restored from a copy, which may lack granted retrials. The records known here are kept
+     * without their versions and merged with those of the store; the larger counts are correct.
      */
-    private startAnew(): void {
+    private handleRestoredStore(): void {
         for (const [digest, record] of [...this.known.entries()]) {
             this.known.set(digest, { ...record, version: 0 });
             this.lost.add(digest);
@@ -147,11 +150,11 @@
         this.refresh();
     }
 
-    private judge(record: CrashRecord, isSuspect: (record: CrashRecord) => boolean): RetrialVerdict {
+    private decide(record: CrashRecord, isSuspect: (record: CrashRecord) => boolean): RetrialVerdict {
         if (!isSuspect(record)) {
             return "excused";
         }
-        return record.retrials >= mostRetrials ? "condemned" : "granted";
+        return record.retrials >= maxRetrials ? "condemned" : "granted";
     }
 
     private async writeCrashes(digest: string): Promise<void> {
@@ -168,13 +171,13 @@
         const { store, clock, logger } = this.options;
         this.nextRead = clock.now() + readInterval;
         const result = await store.read(table);
-        this.isReadDue = false;
+        this.isReadScheduled = false;
         if (result.kind !== "read") {
             logger.warn({ result: result.kind }, "crashing requests not read");
             this.refresh(isFirst);
             return;
         }
-        result.rows.forEach(row => this.learn(row));
+        result.rows.forEach(row => this.applyRow(row));
         logger.info({ requests: result.rows.length, version: result.version }, "crashing requests read");
         await Promise.all([...this.unwritten.keys()].map(digest => this.writeCrashes(digest)));
         await this.writeLost(result.rows);
@@ -183,7 +186,7 @@
         }
     }
 
-    /** Only retrials are written again: crashes count on with what gateways tell each other. */
+    /** Writes lost retrials again. Lost crashes are not: they still count through the heartbeats of the gateways. */
     private async writeLost(rows: readonly StoredRow[]): Promise<void> {
         const held = new Map(rows.map(({ key, value }) => [key, recordSchema.safeParse(value).data?.retrials ?? 0]));
         for (const digest of this.lost) {
@@ -195,25 +198,25 @@
         this.lost.clear();
     }
 
-    /** Rows that count no more would fill the table; each process that starts removes some. */
+    /** Removes some expired rows, which would otherwise fill the table. Every process does this at its start. */
     private async removeOutdated(rows: readonly StoredRow[]): Promise<void> {
         const outdated = rows.filter(({ key }) => this.known.has(key) && this.get(key) === undefined);
-        for (const { key, version } of outdated.slice(0, mostRemoved)) {
-            // A row that cannot be removed now, or was written meanwhile, is left to the next process that starts.
+        for (const { key, version } of outdated.slice(0, maxRemoved)) {
+            // A row that cannot be removed, or was changed since the read, is left to the next process that starts.
             await this.options.store.write({ table, key, value: undefined, expectedVersion: version });
             this.known.delete(key);
         }
     }
 
-    /** Changes a record as it stands in the store, or leaves it when the change is undefined. */
+    /** Applies a change to the current record in the store; an undefined change leaves the record as it is. */
     private async change(
         digest: string,
-        describe: (record: CrashRecord) => Partial<CrashRecord> | undefined,
+        computeChange: (record: CrashRecord) => Partial<CrashRecord> | undefined,
     ): Promise<"done" | "failed"> {
         const { store, clock, logger } = this.options;
-        for (let tries = 0; tries < mostTries; tries++) {
-            const record = this.get(digest) ?? noCrash;
-            const changed = describe(record);
+        for (let tries = 0; tries < maxWriteAttempts; tries++) {
+            const record = this.get(digest) ?? emptyRecord;
+            const changed = computeChange(record);
             if (changed === undefined) {
                 return "done";
             }
@@ -221,7 +224,7 @@
             const expectedVersion = this.known.get(digest)?.version ?? 0;
             const result = await store.write({ table, key: digest, value, expectedVersion });
             if (result.kind === "written") {
-                this.learn({ key: digest, value, version: result.version });
+                this.applyRow({ key: digest, value, version: result.version });
                 return "done";
             }
             if (result.kind !== "conflict") {
@@ -229,19 +232,19 @@
                 return "failed";
             }
             this.known.delete(digest);
-            result.rows.forEach(row => this.learn(row));
+            result.rows.forEach(row => this.applyRow(row));
         }
         logger.warn({ digest, result: "conflicts" }, "crashing request not written");
         return "failed";
     }
 
-    /** A row that is none, for instance of another version of this program, says nothing; a newer one is kept. */
-    private learn({ key, value, version }: StoredRow): void {
+    /** Updates the record known here, unless the row is older or invalid, for instance of another software version. */
+    private applyRow({ key, value, version }: StoredRow): void {
         const record = recordSchema.safeParse(value);
         const known = this.known.get(key);
         if (record.success && version >= (known?.version ?? 0)) {
-            const mayLack = known !== undefined && this.lost.has(key);
-            this.known.set(key, { ...mayLack ? joined(record.data, known) : record.data, version });
+            const isPossiblyLost = known !== undefined && this.lost.has(key);
+            this.known.set(key, { ...isPossiblyLost ? joined(record.data, known) : record.data, version });
         }
     }
 
@@ -250,7 +253,7 @@
     }
 }
 
-/** Two records of one request, of which either may lack what the other holds. */
+/** Merges two records of a request, each of which may lack counts of the other. */
 function joined(a: CrashRecord, b: CrashRecord): CrashRecord {
     const excused = Math.max(a.excused ?? 0, b.excused ?? 0);
     return {
--- a/packages/gateway/src/lib/crashes/CrashWatch.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashWatch.test.ts
@@ -26,7 +26,7 @@
 const run: CutRun = { request: "r", digest: "d", target, after: 80, replyAge: undefined };
 const settled = () => new Promise(resolve => setImmediate(resolve));
 
-test("all runs that a target cuts as it crashes are told, after one look", async () => {
+test("all runs that a crash interrupts are reported after a single check", async () => {
     const { watch, crashes, looks } = createWatch(target);
     ["a", "b", "c"].forEach(digest => watch.runCut({ ...run, digest }));
     await settled();
@@ -34,14 +34,14 @@
     assert.equal(looks(), 1);
 });
 
-test("a target that takes connections has cut a run off, but has not crashed", async () => {
+test("a target that interrupted a run but accepts connections has not crashed", async () => {
     const { watch, crashes } = createWatch(target, false);
     watch.runCut(run);
     await settled();
     assert.deepEqual(crashes, []);
 });
 
-test("a target that was leaving, or is gone, has not crashed", async () => {
+test("a target that is draining or no longer listed does not count as crashed", async () => {
     for (const listed of [undefined, { ...target, state: "draining" as const }]) {
         const { watch, crashes } = createWatch(listed);
         watch.runCut(run);
--- a/packages/gateway/src/lib/crashes/CrashWatch.ts
+++ b/packages/gateway/src/lib/crashes/CrashWatch.ts
@@ -2,17 +2,17 @@
 import { type TargetDirectory } from "../directory/TargetDirectory.js";
 import { type Observation } from "../observation/Observation.js";
 
-/** A run that its target cut off. */
+/** A run that was interrupted because its target closed or reset the connection. */
 export interface CutRun {
-    /** The id of the caller's attempt. */
+    /** Id of the caller's attempt. */
     readonly request: string | undefined;
-    /** What names the request over its attempts. */
+    /** Identifies the request over all attempts of its caller. */
     readonly digest: string;
-    /** The target that the request was sent to, for a chain its first one. */
+    /** The target to which the request was sent; for a chain, its first target. */
     readonly target: Target;
-    /** Milliseconds since the request was sent there. */
+    /** Milliseconds since the request was sent to the target. */
     readonly after: number;
-    /** Milliseconds since its reply began, for a stream with its first event; undefined when it had not. */
+    /** Milliseconds since the start of the reply, for a stream since its first event; undefined before that. */
     readonly replyAge: number | undefined;
 }
 
@@ -21,21 +21,24 @@
     readonly directory: Pick<TargetDirectory, "get">;
     readonly refusesConnections: (target: Target) => Promise<boolean>;
     readonly observation: Observation;
-    /** The target of the runs had crashed. */
+    /** Called with all runs that a crash of their target interrupted. */
     readonly onCrash?: (runs: readonly CutRun[]) => void;
 }
 
 /**
- * Finds out whether a target that cut a run off has crashed. A connection that was reset says nothing by itself: networks and
- * full targets reset them too. A target that leaves ends its process as well, so only one that was listed as ready counts.
+ * Detects whether a target that interrupted a run has crashed. A reset connection is no proof, since networks and full
+ * targets reset connections too; the target must also refuse new ones. A draining target ends its process as well, so
+ * it is left out.
  */
 export class CrashWatch {
-    /** Runs that wait for a look at their target, by its start: many are cut at once, and one look tells for all. */
+    /**
+     * Interrupted runs by the incarnation of their target. A crash interrupts many runs, and one check covers them all.
+     */
     private readonly waiting = new Map<string, CutRun[]>();
 
     constructor(private readonly options: CrashWatchOptions) {}
 
-    /** Takes a run that was cut off after its request had been sent. */
+    /** Checks the target of a run that was interrupted after its request had been sent. */
     runCut(run: CutRun): void {
         const incarnation = incarnationOf(run.target);
         const waiting = this.waiting.get(incarnation);
@@ -45,23 +48,23 @@
         }
         const runs = [run];
         this.waiting.set(incarnation, runs);
-        void this.look(run.target).then(hasCrashed => {
+        void this.checkCrash(run.target).then(hasCrashed => {
             this.waiting.delete(incarnation);
             if (hasCrashed) {
-                runs.forEach(cut => this.noteCrash(cut, runs.length));
+                runs.forEach(cut => this.recordCrash(cut, runs.length));
                 this.options.onCrash?.(runs);
             }
         });
     }
 
-    private async look(target: Target): Promise<boolean> {
+    private async checkCrash(target: Target): Promise<boolean> {
         const { directory, refusesConnections } = this.options;
         const listed = directory.get(target.id);
         const isLeaving = listed === undefined || listed.state === "draining";
         return !isLeaving && await refusesConnections(target);
     }
 
-    private noteCrash(run: CutRun, runs: number): void {
+    private recordCrash(run: CutRun, runs: number): void {
         const { observation } = this.options;
         const { request, digest, target, after, replyAge } = run;
         observation.metrics.crashedRuns.add({});
--- a/packages/gateway/src/lib/crashes/crashingRequests.test.ts
+++ b/packages/gateway/src/lib/crashes/crashingRequests.test.ts
@@ -4,22 +4,20 @@
 import { CrashingSite, type CrashingSiteOptions } from "../testing/CrashingSite.js";
 
 /**
- * Users saw most of the model's requests fail for seconds, again and again. One request crashed each target that ran it: all streams
- * on the target were cut, the request went on to the next chain within its attempts, and its caller came back with it at other
- * gateways. 14 to 20 targets crashed under one request, and after the third and a time in contact it was sent 7 and 8 times more.
- *
- * Cause: nothing was remembered of a request beyond one attempt of its caller, and nothing was told to other gateways. Evidence: a run
- * of this site with one gateway broke the promise as well (7 sends), so it was not the number of gateways; with logs that name a
- * request over its attempts, each attempt crashed up to three targets however often it had come before.
+ * Guards against a request that crashes every target which runs it. Each crash interrupts all streams on the target,
+ * the request is retried on the next chain, and its caller retries it at other gateways. While gateways kept no record
+ * of a request beyond one attempt of its caller and exchanged none, each attempt crashed up to three targets: one
+ * request crashed 14 to 20 targets, and was sent 7 and 8 times more after the third crash and the contact time, with a
+ * single gateway 7 times.
  */
 
-/** Milliseconds in which all gateways know of the third crash. */
+/** Milliseconds after which all gateways must know of the third crash. */
 const contactTime = 3_000;
-/** Sends of such a request from then on, over all gateways and for good. */
-const mostRetries = 3;
-const thirdCrash = 2;
+/** Maximum number of times that such a request may be sent after that, over all gateways. */
+const maxRetries = 3;
+const thirdCrashIndex = 2;
 
-/** A span in which gateways are not in touch with the store, on the site's clock; the promise does not hold then. */
+/** A period without contact to the store, on the site's clock; the limit on retries does not apply during it. */
 interface Outage {
     readonly start: number;
     readonly end: number;
@@ -27,21 +25,21 @@
 
 const noOutage: Outage = { start: Infinity, end: -Infinity };
 
-/** How often a request reached targets later than the time in contact after its third crash. */
-function lateArrivals({ crashes, arrivals }: CrashingSite, body: string, outage = noOutage): number {
-    const third = crashes.get(body)?.[thirdCrash] ?? Infinity;
-    const isInTouch = (time: number) => time < outage.start || time > outage.end + contactTime;
-    return (arrivals.get(body) ?? []).filter(time => time > third + contactTime && isInTouch(time)).length;
+/** Counts how often a request reached targets later than the contact time after its third crash. */
+function countLateArrivals({ crashes, arrivals }: CrashingSite, body: string, outage = noOutage): number {
+    const thirdCrashAt = crashes.get(body)?.[thirdCrashIndex] ?? Infinity;
+    const hasContact = (time: number) => time < outage.start || time > outage.end + contactTime;
+    return (arrivals.get(body) ?? []).filter(time => time > thirdCrashAt + contactTime && hasContact(time)).length;
 }
 
-/** Requests that crash nothing and were refused for good, and those told to come back, as if they did. */
-function refusedBystanders({ outcomes }: CrashingSite) {
+/** Counts harmless requests that were refused for crashing targets, permanently or with a time to retry. */
+function countRefusedBystanders({ outcomes }: CrashingSite) {
     const failures = outcomes
         .filter(({ body }) => !body.startsWith("culprit"))
         .flatMap(outcome => outcome.failures)
         .filter(({ result }) => result === requestCodes.crashesTargets.number);
-    const forGood = failures.filter(({ hasRetryAfter }) => !hasRetryAfter).length;
-    return { forGood, forNow: failures.length - forGood };
+    const permanent = failures.filter(({ hasRetryAfter }) => !hasRetryAfter).length;
+    return { permanent, temporary: failures.length - permanent };
 }
 
 const seeds = [1, 2, 3];
@@ -52,32 +50,32 @@
 ];
 
 for (const [name, options] of sizes) {
-    test(`${name}: a request that crashes its targets is sent three times more at most`, async () => {
+    test(`${name}: a request that crashes its targets is sent at most three more times`, async () => {
         for (const seed of seeds) {
             const site = new CrashingSite({ ...options, seed });
             await site.run(60_000);
             assert.ok((site.crashes.get("culprit 0") ?? []).length >= 3);
-            const sends = lateArrivals(site, "culprit 0");
-            assert.ok(sends <= mostRetries, `seed ${seed}: ${sends} sends`);
+            const sends = countLateArrivals(site, "culprit 0");
+            assert.ok(sends <= maxRetries, `seed ${seed}: ${sends} sends`);
         }
     });
 }
 
-interface Trouble {
+interface Scenario {
     readonly name: string;
     readonly options: CrashingSiteOptions;
     readonly begin?: (site: CrashingSite) => Outage;
 }
 
-const troubles: readonly Trouble[] = [
-    { name: "three such requests at once", options: { culprits: 3 } },
-    { name: "targets that crash by themselves as well", options: { culprits: 2, crashesPerMinute: 20 } },
+const scenarios: readonly Scenario[] = [
+    { name: "three such requests at the same time", options: { culprits: 3 } },
+    { name: "targets that also crash for other reasons", options: { culprits: 2, crashesPerMinute: 20 } },
     {
-        name: "messages between gateways lost, late and repeated",
+        name: "messages between gateways lost, delayed and duplicated",
         options: { culprits: 2, loss: 0.1, duplicates: 0.1, maxDelay: 150 },
     },
     {
-        name: "all gateways start again, twice",
+        name: "all gateways restart, twice",
         options: { culprits: 2 },
         begin: site => {
             [8_000, 25_000].forEach(delay => site.after(delay, () => site.restartGateways()));
@@ -85,7 +83,7 @@
         },
     },
     {
-        name: "a data centre's gateways do not hear the others",
+        name: "the gateways of a data centre are cut off from the others",
         options: { culprits: 2 },
         begin: site => {
             site.after(3_000, () => {
@@ -95,7 +93,7 @@
         },
     },
     {
-        name: "the store is away for ten seconds",
+        name: "the store is unavailable for ten seconds",
         options: { culprits: 2 },
         begin: site => {
             const start = site.group.clock.now() + 5_000;
@@ -106,17 +104,17 @@
     },
 ];
 
-for (const { name, options, begin = () => noOutage } of troubles) {
-    test(`${name}: each culprit is sent three times more at most, and nobody else is refused for good`, async () => {
+for (const { name, options, begin = () => noOutage } of scenarios) {
+    test(`${name}: culprits are sent at most three more times, no other request is refused permanently`, async () => {
         for (const seed of seeds) {
             const site = new CrashingSite({ ...options, seed });
             const outage = begin(site);
             await site.run(40_000);
             for (const body of site.crashes.keys()) {
-                const sends = lateArrivals(site, body, outage);
-                assert.ok(sends <= mostRetries, `seed ${seed}: ${sends} sends of ${body}`);
+                const sends = countLateArrivals(site, body, outage);
+                assert.ok(sends <= maxRetries, `seed ${seed}: ${sends} sends of ${body}`);
             }
-            assert.equal(refusedBystanders(site).forGood, 0, `seed ${seed}`);
+            assert.equal(countRefusedBystanders(site).permanent, 0, `seed ${seed}`);
         }
     });
 }
@@ -125,6 +123,6 @@
     for (const seed of seeds) {
         const site = new CrashingSite({ culprits: 0, crashesPerMinute: 40, seed });
         await site.run(40_000);
-        assert.deepEqual(refusedBystanders(site), { forGood: 0, forNow: 0 }, `seed ${seed}`);
+        assert.deepEqual(countRefusedBystanders(site), { permanent: 0, temporary: 0 }, `seed ${seed}`);
     }
 });
