--- a/packages/gateway/src/lib/duty/PaceWatch.ts
+++ b/packages/gateway/src/lib/duty/PaceWatch.ts
@@ -13,33 +13,35 @@
 }
 
 /**
- * Milliseconds between two reports of each target. Chosen: a slow one is known in 2 s in the mean, and a day of 46 s costs
- * 0.001 of its worth in probes (reckoned from the price of 418 probes).
+ * Milliseconds between two reports of each target. A slow target is detected after 2 s on average; a simulated day of
+ * 46 s takes 418 reports, whose price is 0.001 of its request value.
  */
-const interval = 4_000;
-/** Milliseconds that a report may take. */
+const reportInterval = 4_000;
+/** Timeout of a report, in milliseconds. */
 const reportTimeout = 400;
 
-/** Asks the targets that requests are on for reports now and then, since a slow one does not say so by itself. */
+/**
+ * Periodically requests reports from the targets that serve requests, since slow targets do not announce it themselves.
+ */
 export class PaceWatch {
-    private readonly askedAt = new Map<string, number>();
+    private readonly requestedAt = new Map<string, number>();
 
     constructor(private readonly options: PaceWatchOptions) {}
 
-    /** Asks those of the targets that were not asked of late. */
-    ask(ids: ReadonlySet<string>): void {
+    /** Requests a report from each of the targets whose last request is older than the report interval. */
+    requestReports(ids: ReadonlySet<string>): void {
         const { clock, directory } = this.options;
         const now = clock.now();
         for (const id of ids) {
             const target = directory.get(id);
-            if (target !== undefined && now - (this.askedAt.get(id) ?? -Infinity) > interval) {
-                this.askedAt.set(id, now);
+            if (target !== undefined && now - (this.requestedAt.get(id) ?? -Infinity) > reportInterval) {
+                this.requestedAt.set(id, now);
                 void this.observe(target);
             }
         }
-        for (const id of this.askedAt.keys()) {
+        for (const id of this.requestedAt.keys()) {
             if (directory.get(id) === undefined) {
-                this.askedAt.delete(id);
+                this.requestedAt.delete(id);
             }
         }
     }
--- a/packages/gateway/src/lib/duty/PlacementDuty.test.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.test.ts
@@ -16,7 +16,7 @@
     readonly id: string;
 }
 
-/** A duty over two small targets that hold half of the layers each, and a third one without any. */
+/** Creates a placement duty for two small targets with half of the layers each, and a third one without layers. */
 function createDuty() {
     const clock = new ManualClock();
     const directory = new TargetDirectory({ clock });
@@ -27,10 +27,10 @@
     const peers = { others: addSums([]) };
     let answer: (order: GivenOrder) => OrderResult = () => ({ kind: "begun" });
     const engine = { ...testEngine, layers: 10, cacheBytesPerToken: 100 };
-    const hold = (id: string, layers: LayerRange | undefined) => directory.put(testTarget(id, "small", layers));
-    hold("t1", { first: 0, end: 5 });
-    hold("t2", { first: 5, end: 10 });
-    hold("t3", undefined);
+    const putTarget = (id: string, layers: LayerRange | undefined) => directory.put(testTarget(id, "small", layers));
+    putTarget("t1", { first: 0, end: 5 });
+    putTarget("t2", { first: 5, end: 10 });
+    putTarget("t3", undefined);
     const duty = new PlacementDuty({
         clock,
         lease,
@@ -55,17 +55,17 @@
             metrics: new GatewayMetrics(new MetricRegistry(clock)),
         },
     });
-    const answerBy = (next: (order: GivenOrder) => OrderResult) => {
+    const setAnswer = (next: (order: GivenOrder) => OrderResult) => {
         answer = next;
     };
-    const suspectAt = (id: string) => {
+    const suspectByPeer = (id: string) => {
         const state = { suspects: [id], slowTargets: {}, chainLoads: {}, crashes: {}, mayTakeDuty: true };
         peers.others = addSums([peers.others, sumsOf("p", state)]);
     };
-    return { clock, directory, suspicions, paces, orders, lease, duty, hold, answerBy, suspectAt };
+    return { clock, directory, suspicions, paces, orders, lease, duty, putTarget, setAnswer, suspectByPeer };
 }
 
-test("a range whose standby loads already needs no further order", async () => {
+test("a lost range whose standby is already loading needs no further order", async () => {
     const { clock, directory, orders, duty } = createDuty();
     duty.start();
     await clock.advanceAsync(2_000);
@@ -75,23 +75,23 @@
     assert.deepEqual(orders.map(({ id }) => id), []);
 });
 
-test("an order without an answer is given again soon, with the same count of orders", async () => {
-    const { clock, orders, duty, answerBy } = createDuty();
-    answerBy(() => ({ kind: orders.length < 3 ? "unknown" : "begun", reason: "timeout" }));
+test("an unanswered order is sent again soon, with the same expected order count", async () => {
+    const { clock, orders, duty, setAnswer } = createDuty();
+    setAnswer(() => ({ kind: orders.length < 3 ? "unknown" : "begun", reason: "timeout" }));
     duty.start();
     await clock.advanceAsync(2_000);
     assert.deepEqual(orders.map(({ id }) => id), ["t3", "t3", "t3"]);
     assert.deepEqual(orders.map(({ expectedOrders }) => expectedOrders), [0, 0, 0]);
 });
 
-test("an order that has begun is not given again while it may be under way", async () => {
+test("an accepted order is not sent again while it may be in progress", async () => {
     const { clock, orders, duty } = createDuty();
     duty.start();
     await clock.advanceAsync(3_000);
     assert.equal(orders.length, 1);
 });
 
-test("without the lease no orders", async () => {
+test("no orders are sent without the lease", async () => {
     const { clock, orders, lease, duty } = createDuty();
     lease.isHeld = false;
     duty.start();
@@ -102,11 +102,11 @@
     assert.equal(orders.length, 1);
 });
 
-test("targets that come and go for minutes do not put the first plan off", async () => {
-    const { clock, orders, duty, hold, directory } = createDuty();
+test("continual changes in the list of targets do not delay the first plan indefinitely", async () => {
+    const { clock, orders, duty, putTarget, directory } = createDuty();
     duty.start();
     for (let change = 0; change < 30; change++) {
-        hold("t9", undefined);
+        putTarget("t9", undefined);
         await clock.advanceAsync(200);
         directory.remove("t9", 0);
         await clock.advanceAsync(200);
@@ -114,26 +114,26 @@
     assert.ok(orders.length > 0);
 });
 
-test("one gateway alone does not take a target for lost, two do", async () => {
-    const { clock, suspicions, orders, duty, hold, suspectAt } = createDuty();
-    hold("t3", { first: 0, end: 5 });
-    hold("t4", undefined);
+test("the layers of a target are moved when two gateways suspect it, not when one does", async () => {
+    const { clock, suspicions, orders, duty, putTarget, suspectByPeer } = createDuty();
+    putTarget("t3", { first: 0, end: 5 });
+    putTarget("t4", undefined);
     duty.start();
     await clock.advanceAsync(2_000);
-    hold("t4", undefined);
+    putTarget("t4", undefined);
     orders.length = 0;
     suspicions.suspect("t2", "lost", 60_000);
-    suspectAt("t9");
+    suspectByPeer("t9");
     await clock.advanceAsync(1_000);
     assert.deepEqual(orders.filter(({ layers }) => layers.first === 5), []);
-    suspectAt("t2");
+    suspectByPeer("t2");
     await clock.advanceAsync(6_000);
     assert.ok(orders.some(({ id, layers }) => id !== "t2" && layers.end === 10));
 });
 
-test("orders to a target that has started again count from 0", async () => {
-    const { clock, orders, duty, directory, hold } = createDuty();
-    hold("t2", undefined);
+test("the order count of a restarted target starts from 0", async () => {
+    const { clock, orders, duty, directory, putTarget } = createDuty();
+    putTarget("t2", undefined);
     duty.start();
     await clock.advanceAsync(2_000);
     const before = orders.filter(({ id }) => id === "t2").length;
@@ -144,10 +144,10 @@
     assert.deepEqual(again.map(({ expectedOrders }) => expectedOrders), [0]);
 });
 
-test("the answer to an order of an earlier start does not count for the next", async () => {
-    const { clock, orders, duty, directory, hold, answerBy } = createDuty();
-    hold("t2", undefined);
-    answerBy(({ id }) => {
+test("the answer to an order of an earlier incarnation does not affect the next one", async () => {
+    const { clock, orders, duty, directory, putTarget, setAnswer } = createDuty();
+    putTarget("t2", undefined);
+    setAnswer(({ id }) => {
         if (id === "t2" && directory.get("t2")?.startedAt === undefined) {
             directory.put({ ...testTarget("t2", "small"), startedAt: 7 });
         }
--- a/packages/gateway/src/lib/duty/PlacementDuty.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.ts
@@ -15,7 +15,7 @@
 import { DataCentreChain } from "./DataCentreChain.js";
 import { PaceWatch } from "./PaceWatch.js";
 import { type PlacementLease } from "./PlacementLease.js";
-import { type ListedTarget, TargetWork } from "./TargetWork.js";
+import { type ListedTarget, TargetOrderState } from "./TargetWork.js";
 
 /** Options of {@link PlacementDuty}. */
 export interface PlacementDutyOptions {
@@ -31,75 +31,77 @@
     readonly observation: Observation;
 }
 
-/** Gateways that must avoid a target before its layers go elsewhere: one alone may be cut off itself. */
-const neededWitnesses = 2;
-/** Milliseconds between two looks at the plan. */
+/** Number of gateways that must suspect a target before its layers are moved: a single one may be cut off itself. */
+const suspicionQuorum = 2;
+/** Milliseconds between two planning cycles. */
 const planInterval = 150;
-/** Milliseconds that a report may take. */
+/** Timeout of a report, in milliseconds. */
 const reportTimeout = 400;
 /**
- * Milliseconds that the answer to an order may take. An order without one is given again at once, with the same count of
- * orders: whichever comes first is carried out, and the other one refused. On a played day whose answers were lost, a range
- * stayed unplaced for more than 5 s while the late one was waited for.
+ * Timeout of the answer to an order, in milliseconds. An unanswered order is sent again immediately with the same
+ * expected order count, so that the target carries out the first one it receives and refuses the other. Without the
+ * immediate retry, a range stayed unplaced for more than 5 s on a simulated day whose answers were lost.
  */
 const orderTimeout = 500;
-/** Milliseconds between two reports of a target that loads. */
+/** Milliseconds between two reports of a target that loads layers. */
 const pollInterval = 400;
-/** Milliseconds for which the list of targets must have been quiet before the first plan, as they start in any order. */
+/** Milliseconds without a change in the list of targets before the first plan, since targets start in any order. */
 const settleTime = 600;
 /**
- * Milliseconds after the first target was listed at which the first plan is made in any case: targets that come and go all the time
- * would put it off for good. It is no shorter since the plan stays: 130 targets that start together are listed over 4.2 s (measured on
- * a site of 198 hosts).
+ * Milliseconds after the first target was listed at which the first plan is made in any case, since continual changes
+ * in the list would delay it indefinitely. It is long enough for a large site, as the first plan largely persists: 130
+ * targets on 198 hosts that start at the same time are listed within 4.2 s.
  */
-const longestSettleTime = 8_000;
+const maxSettleTime = 8_000;
 
-/** Gives targets their layers, while this process holds the lease. */
+/**
+ * Plans the layers of all targets and orders the targets to load them, while this process holds the placement lease.
+ */
 export class PlacementDuty {
     /** By incarnation of the target. */
-    private readonly work = new Map<string, TargetWork>();
+    private readonly orderStates = new Map<string, TargetOrderState>();
     /** By service and data centre. */
     private readonly chains = new Map<string, DataCentreChain>();
     private readonly paceWatch: PaceWatch;
     private isStopped = false;
     private seenRevision = -1;
-    private quietSince: number;
+    private unchangedSince: number;
     private hasPlanned = false;
-    /** When a target was first listed, on the clock. */
+    /** When the first target was listed, on the clock. */
     private firstListedAt: number | undefined;
 
     constructor(private readonly options: PlacementDutyOptions) {
-        this.quietSince = options.clock.now();
+        this.unchangedSince = options.clock.now();
         this.paceWatch = new PaceWatch(options);
     }
 
     start(): void {
-        this.look();
+        this.runPlanningCycle();
     }
 
     stop(): void {
         this.isStopped = true;
     }
 
-    private look(): void {
+    private runPlanningCycle(): void {
         if (this.isStopped) {
             return;
         }
         const { clock, lease, directory } = this.options;
         if (directory.revision !== this.seenRevision) {
             this.seenRevision = directory.revision;
-            this.quietSince = clock.now();
+            this.unchangedSince = clock.now();
         }
         if (lease.isHeld && (this.hasPlanned || this.isSettled())) {
             this.hasPlanned = true;
             this.plan();
         }
-        clock.schedule(() => this.look(), planInterval);
+        clock.schedule(() => this.runPlanningCycle(), planInterval);
     }
 
     /**
-     * True once targets are listed and no further ones have come for a while: a plan for a part of them would stay. It waits
-     * for that quiet only so long.
+     * Whether targets are listed and their list has not changed for the settle time, or the maximum settle time has
+     * passed. A plan for only a part of the targets would persist.
      */
     private isSettled(): boolean {
         const { clock, services, directory } = this.options;
@@ -111,11 +113,11 @@
         }
         const now = clock.now();
         this.firstListedAt ??= now;
-        return now - this.quietSince > settleTime || now - this.firstListedAt > longestSettleTime;
+        return now - this.unchangedSince > settleTime || now - this.firstListedAt > maxSettleTime;
     }
 
     private plan(): void {
-        this.forgetGone();
+        this.removeUnlisted();
         for (const { name, engine } of this.options.services()) {
             if (engine === undefined) {
                 continue;
@@ -125,45 +127,49 @@
             for (const dataCentre of dataCentres) {
                 const local = targets.filter(target => target.dataCentre === dataCentre);
                 const chain = this.chainOf(name, dataCentre);
-                chain.update(this.presentChain(dataCentre, local, engine));
+                chain.update(this.buildCurrentChain(dataCentre, local, engine));
                 if (this.options.isOn?.("slow-targets") !== false) {
-                    this.paceWatch.ask(chain.inUse);
+                    this.paceWatch.requestReports(chain.inUse);
                 }
                 this.planDataCentre(local, engine, chain)
-                    .forEach(placement => this.bringAbout(placement, engine));
+                    .forEach(placement => this.applyPlacement(placement, engine));
             }
         }
     }
 
-    /** Targets that are listed as ready and that no gateway avoids, with what they hold or are about to hold. */
+    /**
+     * Returns the ready targets that no quorum of gateways suspects, with the layers that they hold or are about to
+     * hold.
+     */
     private usableTargets(service: string): Target[] {
         const { directory, suspicions, peers } = this.options;
         const { suspects, members } = peers.others;
-        const witnesses = (id: string) => (suspects[id] ?? 0) + (suspicions.isLost(id) ? 1 : 0);
-        const needed = Math.min(neededWitnesses, members + 1);
+        const countSuspicions = (id: string) => (suspects[id] ?? 0) + (suspicions.isLost(id) ? 1 : 0);
+        const quorum = Math.min(suspicionQuorum, members + 1);
         return directory.readyTargets(service)
-            .filter(({ id }) => witnesses(id) < needed)
-            .map(target => ({ ...target, layers: this.workOf(target).expected(this.listed(target)) }));
+            .filter(({ id }) => countSuspicions(id) < quorum)
+            .map(target => ({ ...target, layers: this.getOrderState(target).expected(this.listed(target)) }));
     }
 
-    /** The chain through what the targets hold by now. */
-    private presentChain(dataCentre: string, targets: readonly Target[], engine: Engine): Chain | undefined {
+    /** Builds the chain from the layers that the targets hold now. */
+    private buildCurrentChain(dataCentre: string, targets: readonly Target[], engine: Engine): Chain | undefined {
         const { directory, paces } = this.options;
         const listed = targets.flatMap(({ id }) => directory.get(id) ?? []);
         return buildChain(dataCentre, listed, engine, id => paces.slowdown(id));
     }
 
     /**
-     * Plans without the slow targets if the others suffice, so that idle ones take their ranges: on a played day with five
-     * targets at a twelfth of their speed callers waited for a first event for 0.8 to 2.5 s (medians of 2 s each).
+     * Plans without the slow targets if the others suffice, so that idle targets take over their ranges. On a simulated
+     * day with five targets at a twelfth of their speed, callers otherwise waited 0.8 to 2.5 s for the first event
+     * (medians over 2 s each).
      */
     private planDataCentre(targets: readonly Target[], engine: Engine, chain: DataCentreChain): Placement[] {
         const { paces, isOn = allMechanismsOn } = this.options;
         const inUse = isOn("in-use-targets") ? chain.inUse : new Set<string>();
-        const mayShift = chain.isOutForLong || !isOn("shift-patience");
-        const wellPaced = targets.filter(({ id }) => !isOn("slow-targets") || paces.slowdown(id) === 1);
-        const plan = wellPaced.length < targets.length
-            ? planLayers(wellPaced, engine, { inUse, mayShift: false, isOn })
+        const mayShift = chain.hasLongOutage || !isOn("shift-patience");
+        const fullSpeedTargets = targets.filter(({ id }) => !isOn("slow-targets") || paces.slowdown(id) === 1);
+        const plan = fullSpeedTargets.length < targets.length
+            ? planLayers(fullSpeedTargets, engine, { inUse, mayShift: false, isOn })
             : [];
         return plan.length > 0 ? plan : planLayers(targets, engine, { inUse, mayShift, isOn });
     }
@@ -179,43 +185,48 @@
         return { target, changedAt: this.options.directory.changedAt(target.id) };
     }
 
-    private bringAbout({ target, layers }: Placement, engine: Engine): void {
+    private applyPlacement({ target, layers }: Placement, engine: Engine): void {
         const { clock, directory } = this.options;
         const entry = directory.get(target.id);
         if (entry === undefined) {
             return;
         }
         const listed = this.listed(entry);
-        const work = this.workOf(entry);
-        if (sameRange(work.held(listed), layers) || work.isCalling) {
+        const orderState = this.getOrderState(entry);
+        if (sameRange(orderState.held(listed), layers) || orderState.isCalling) {
             return;
         }
-        if (!work.isPending(listed)) {
-            void this.order(listed, layers, work, engine);
+        if (!orderState.isPending(listed)) {
+            void this.order(listed, layers, orderState, engine);
         }
-        else if (clock.now() >= work.nextPoll) {
-            void this.poll(entry, work);
+        else if (clock.now() >= orderState.nextPoll) {
+            void this.poll(entry, orderState);
         }
     }
 
-    private async order(listed: ListedTarget, layers: LayerRange, work: TargetWork, engine: Engine): Promise<void> {
+    private async order(
+        listed: ListedTarget,
+        layers: LayerRange,
+        orderState: TargetOrderState,
+        engine: Engine,
+    ): Promise<void> {
         const { clock, lease, engines, observation } = this.options;
         const { target } = listed;
         const term = lease.term ?? 0;
-        // An earlier holder has given this target orders; how many, only its report tells.
-        if (target.layers !== undefined && !work.hasReport) {
-            await this.poll(target, work);
+        // An earlier lease holder sent this target orders, and only the target's report holds their number.
+        if (target.layers !== undefined && !orderState.hasReport) {
+            await this.poll(target, orderState);
             return;
         }
-        const expectedOrders = work.acceptedOrders;
-        work.isCalling = true;
+        const expectedOrders = orderState.acceptedOrders;
+        orderState.isCalling = true;
         const result = await engines.place(target, { layers, fence: term, expectedOrders }, orderTimeout);
-        work.isCalling = false;
+        orderState.isCalling = false;
         observation.metrics.orders.add({ result: result.kind });
         observation.logs.duty.info({
             target: target.id,
             dataCentre: target.dataCentre,
-            held: work.held(listed),
+            held: orderState.held(listed),
             layers,
             term,
             expectedOrders,
@@ -226,43 +237,43 @@
             return;
         }
         if (result.kind === "unfit") {
-            await this.poll(target, work);
+            await this.poll(target, orderState);
             return;
         }
-        work.acceptedOrders += result.kind === "begun" ? 1 : 0;
-        work.recordOrder(layers);
+        orderState.acceptedOrders += result.kind === "begun" ? 1 : 0;
+        orderState.recordOrder(layers);
         const share = (layers.end - layers.first) / engine.layers;
-        work.nextPoll = clock.now() + (result.kind === "begun" ? engine.loadTime * share : 0);
+        orderState.nextPoll = clock.now() + (result.kind === "begun" ? engine.loadTime * share : 0);
     }
 
-    private async poll(target: Target, work: TargetWork): Promise<void> {
+    private async poll(target: Target, orderState: TargetOrderState): Promise<void> {
         const { clock, engines, directory } = this.options;
-        work.isCalling = true;
+        orderState.isCalling = true;
         const report = await engines.fetchReport(target, reportTimeout);
-        work.isCalling = false;
-        work.nextPoll = clock.now() + pollInterval;
+        orderState.isCalling = false;
+        orderState.nextPoll = clock.now() + pollInterval;
         if (report !== undefined && directory.confirmsStart(target, report.startedAt)) {
-            work.recordReport(report);
+            orderState.recordReport(report);
         }
     }
 
-    /** Orders and reports of an earlier start say nothing of a target, and its count of orders begins anew. */
-    private workOf(target: Target): TargetWork {
+    /** Returns the order state of the target's current incarnation: a restarted target counts its orders from 0. */
+    private getOrderState(target: Target): TargetOrderState {
         const incarnation = incarnationOf(target);
-        const known = this.work.get(incarnation);
+        const known = this.orderStates.get(incarnation);
         if (known !== undefined) {
             return known;
         }
-        const work = new TargetWork(this.options.clock);
-        this.work.set(incarnation, work);
-        return work;
+        const orderState = new TargetOrderState(this.options.clock);
+        this.orderStates.set(incarnation, orderState);
+        return orderState;
     }
 
-    private forgetGone(): void {
+    private removeUnlisted(): void {
         const listed = new Set(this.options.directory.list().map(incarnationOf));
-        for (const incarnation of this.work.keys()) {
+        for (const incarnation of this.orderStates.keys()) {
             if (!listed.has(incarnation)) {
-                this.work.delete(incarnation);
+                this.orderStates.delete(incarnation);
             }
         }
     }
--- a/packages/gateway/src/lib/duty/PlacementLease.test.ts
+++ b/packages/gateway/src/lib/duty/PlacementLease.test.ts
@@ -17,8 +17,8 @@
 function createLease(process = "b") {
     const clock = new ManualClock();
     let reads = 0;
-    let answerWatch: (changes: Watched) => void = () => undefined;
-    const play = { answer: { kind: "read", rows: [], version: 1 } as Read, others: addSums([]) };
+    let resolveWatch: (changes: Watched) => void = () => undefined;
+    const simulated = { answer: { kind: "read", rows: [], version: 1 } as Read, others: addSums([]) };
     const lease = new PlacementLease({
         clock,
         process,
@@ -26,17 +26,17 @@
         logger: silentLogs().duty,
         peers: {
             get others() {
-                return play.others;
+                return simulated.others;
             },
         },
         store: {
             read: () => {
                 reads++;
-                return Promise.resolve(play.answer);
+                return Promise.resolve(simulated.answer);
             },
             watch: () =>
                 new Promise(resolve => {
-                    answerWatch = resolve;
+                    resolveWatch = resolve;
                 }),
             write: () => Promise.resolve({ kind: "written", version: 2 }),
         },
@@ -44,29 +44,29 @@
     lease.start();
     const supersede = () => {
         const row = { key: "placement", value: { holder: "z", incarnation: "9", term: 9 }, version: 9 };
-        answerWatch({ kind: "changes", changes: [{ key: row.key, row }], version: 9 });
+        resolveWatch({ kind: "changes", changes: [{ key: row.key, row }], version: 9 });
     };
-    return { clock, lease, play, reads: () => reads, supersede };
+    return { clock, lease, simulated, reads: () => reads, supersede };
 }
 
-test("the first candidate takes the duty that nobody holds", async () => {
-    const { clock, lease, play } = createLease();
-    play.others = { ...addSums([]), members: 3, firstCandidate: "c" };
+test("the first candidate acquires a lease that no process holds", async () => {
+    const { clock, lease, simulated } = createLease();
+    simulated.others = { ...addSums([]), members: 3, firstCandidate: "c" };
     await clock.advanceAsync(1_500);
     assert.equal(lease.isHeld, true);
 });
 
-test("a process leaves the duty to its holder, and to a candidate before it", async () => {
+test("a process leaves the lease to its holder and to a preceding candidate", async () => {
     for (const others of [{ dutyTerm: 4 }, { firstCandidate: "a" }]) {
-        const { clock, play, reads } = createLease();
-        play.others = { ...addSums([]), members: 3, ...others };
+        const { clock, simulated, reads } = createLease();
+        simulated.others = { ...addSums([]), members: 3, ...others };
         await clock.advanceAsync(3_000);
         assert.equal(reads(), 0);
     }
 });
 
-test("a process that lost the duty hears its peers for a second before it tries again", async () => {
-    const { clock, lease, play, reads, supersede } = createLease();
+test("a process that lost the lease waits for heartbeats for a second before it tries again", async () => {
+    const { clock, lease, simulated, reads, supersede } = createLease();
     await clock.advanceAsync(1_500);
     assert.equal(lease.isHeld, true);
     supersede();
@@ -75,23 +75,23 @@
     const before = reads();
     await clock.advanceAsync(800);
     assert.equal(reads(), before);
-    play.others = { ...addSums([]), members: 3, dutyTerm: 9 };
+    simulated.others = { ...addSums([]), members: 3, dutyTerm: 9 };
     await clock.advanceAsync(2_000);
     assert.equal(reads(), before);
 });
 
-test("a process that does not reach the store is no candidate for three seconds", async () => {
-    const { clock, lease, play } = createLease();
-    play.answer = { kind: "unknown", reason: "timeout" };
+test("a process that cannot reach the store is no candidate for three seconds", async () => {
+    const { clock, lease, simulated } = createLease();
+    simulated.answer = { kind: "unknown", reason: "timeout" };
     assert.equal(lease.mayAcquire, true);
     await clock.advanceAsync(1_300);
     assert.equal(lease.mayAcquire, false);
-    play.others = { ...addSums([]), members: 3, firstCandidate: "a" };
+    simulated.others = { ...addSums([]), members: 3, firstCandidate: "a" };
     await clock.advanceAsync(3_200);
     assert.equal(lease.mayAcquire, true);
 });
 
-/** A holder over a store that can come back from a copy. */
+/** Creates a lease holder with a store that can be restored from a copy. */
 async function createHolder() {
     const clock = new ManualClock(1_000_000);
     const table = new SimulatedStore(clock);
@@ -124,7 +124,7 @@
     assert.equal(lease.isHeld, true);
 });
 
-test("a holder gives way to one that took the duty under a higher term since the copy", async () => {
+test("after a restore, a holder yields to one that acquired the lease with a higher term", async () => {
     const { clock, table, lease } = await createHolder();
     table.restoreCopy();
     table.put("placement", { holder: "c", incarnation: "1", term: 8 });
@@ -132,7 +132,7 @@
     assert.equal(lease.term, undefined);
 });
 
-test("terms do not go back with the copy, for one that takes the duty anew either", async () => {
+test("after a restore, a process that acquires the lease uses a higher term than any it has seen", async () => {
     const { clock, table, lease } = await createHolder();
     table.put("placement", { holder: "c", incarnation: "1", term: 8 });
     await clock.advanceAsync(100);
--- a/packages/gateway/src/lib/duty/PlacementLease.ts
+++ b/packages/gateway/src/lib/duty/PlacementLease.ts
@@ -34,69 +34,71 @@
 
 const table = "duties";
 const key = "placement";
-/** Milliseconds between two looks at who holds the duty. */
+/** Milliseconds between two checks of the lease. */
 const checkInterval = 200;
 /**
- * Milliseconds after the start, and after the loss of the duty, in which peers are heard before this process may take it: what one of
- * them tells comes through two relays, each of which waits for its next heartbeat.
+ * Milliseconds after the start, and after the loss of the lease, during which this process only receives heartbeats
+ * before it may acquire the lease: the state of a peer may arrive over two relays, each of which waits for its next
+ * heartbeat.
  */
 const startDelay = 1_000;
-/** Milliseconds that the holder waits for another one's write in one call. */
-const watchWait = 2_000;
-/** Milliseconds since the store last confirmed the holder after which it gives no orders. */
-const confirmationBound = 4_300;
-/** Milliseconds before a try that failed is repeated. */
+/** Milliseconds for which one watch call of the holder waits for a change in the store. */
+const watchTimeout = 2_000;
+/** Milliseconds since the last confirmation by the store after which the holder gives no orders. */
+const maxConfirmationAge = 4_300;
+/** Milliseconds before a failed attempt to acquire the lease is repeated. */
 const retryDelay = 600;
 /**
- * Milliseconds for which a process that did not reach the store leaves the duty to others. A process that relies on peers to follow
- * the store learns of that only when it tries.
+ * Milliseconds for which a process that could not reach the store leaves the lease to others. A process that follows
+ * the store through its peers notices the lost connection only when it tries to acquire the lease.
  */
-const cutOffTime = 3_000;
+const unreachableBackOff = 3_000;
 
 /**
- * The lease on the placement duty. Its row in the store names the holder and a term that grows with each one. Others
- * learn from heartbeats that the holder lives, so they need no call to the store; when the heartbeats end, the first of
- * the others by name writes itself into the row. Two may believe for a moment that they hold it: the targets' own
- * count of orders keeps their orders from mixing.
+ * The lease on the placement duty, the role of the gateway that plans layers and sends orders to targets. Its row in
+ * the store names the holder and a term, which increases with each holder. Other gateways learn from heartbeats that
+ * the holder is alive, without calls to the store. When the heartbeats stop, the candidate with the lowest name writes
+ * itself into the row. Two processes may briefly both consider themselves the holder; the order counts of the targets
+ * keep their orders from interleaving.
  */
 export class PlacementLease {
     private readonly state = new StateChart<LeaseState, LeaseEvent>(chart);
     private heldTerm = 0;
-    /** The highest term that was ever seen here: a copy that the store went back to may hold an older one. */
+    /** The highest term that this process has seen: a store that was restored from a copy may hold an older one. */
     private highestTerm = 0;
     private confirmedAt: Moment | undefined;
     private watch: TableWatch | undefined;
-    private nextTry = 0;
-    /** Until when this process counts as cut off from the store, since a try to take the duty found it so. */
-    private cutOffUntil = -Infinity;
+    private nextAttemptAt = 0;
+    /** Until when this process is no candidate, because it could not reach the store to acquire the lease. */
+    private backOffUntil = -Infinity;
 
     constructor(private readonly options: PlacementLeaseOptions) {}
 
-    /** The term while this process holds the duty. */
+    /** The term of the lease while this process holds it; otherwise undefined. */
     get term(): number | undefined {
         return this.state.state === "holding" || this.state.state === "paused" ? this.heldTerm : undefined;
     }
 
-    /** True while orders may be given: the store has confirmed the holder of late. */
+    /** Whether this process may give orders: it holds the lease, and the store has confirmed this recently. */
     get isHeld(): boolean {
-        return this.state.state === "holding" && this.confirmationAge < confirmationBound;
+        return this.state.state === "holding" && this.confirmationAge < maxConfirmationAge;
     }
 
     private get confirmationAge(): number {
         return this.confirmedAt === undefined ? Infinity : ageOf(this.confirmedAt, this.options.clock);
     }
 
-    /** False for a while after a try that did not reach the store: another process should try. */
+    /** Whether this process is a candidate; false for a while after an attempt that could not reach the store. */
     get mayAcquire(): boolean {
-        return this.options.clock.now() >= this.cutOffUntil;
+        return this.options.clock.now() >= this.backOffUntil;
     }
 
     start(): void {
-        this.nextTry = this.options.clock.now() + startDelay;
+        this.nextAttemptAt = this.options.clock.now() + startDelay;
         this.check();
     }
 
-    /** Gives the duty up; a peer takes it when the heartbeats no longer claim it. */
+    /** Releases the lease; a peer acquires it once this process no longer claims it in its heartbeats. */
     release(): void {
         this.watch?.stop();
         this.state.send("released");
@@ -107,18 +109,18 @@
             return;
         }
         const now = this.options.clock.now();
-        if (this.state.state === "following" && now >= this.nextTry && this.isNext()) {
+        if (this.state.state === "following" && now >= this.nextAttemptAt && this.isPreferredCandidate()) {
             void this.acquire();
         }
-        if (this.state.state === "holding" && this.confirmationAge > confirmationBound) {
+        if (this.state.state === "holding" && this.confirmationAge > maxConfirmationAge) {
             this.state.send("unconfirmed");
             this.options.logger.warn({ term: this.heldTerm, age: Math.round(this.confirmationAge) }, "duty paused");
         }
         this.options.clock.schedule(() => this.check(), checkInterval);
     }
 
-    /** True if no living peer holds the duty, and none that could take it comes before this process. */
-    private isNext(): boolean {
+    /** Whether no live peer holds the lease and no candidate precedes this process. */
+    private isPreferredCandidate(): boolean {
         const { peers, process } = this.options;
         const { dutyTerm, firstCandidate } = peers.others;
         return dutyTerm === undefined && (firstCandidate === undefined || firstCandidate >= process);
@@ -127,12 +129,12 @@
     private async acquire(): Promise<void> {
         const { store, process, incarnation, clock, logger } = this.options;
         this.state.send("holderSilent");
-        this.nextTry = clock.now() + retryDelay;
+        this.nextAttemptAt = clock.now() + retryDelay;
         const asked = currentMoment(clock);
         const current = await store.read(table);
         if (current.kind !== "read") {
             logger.info({ result: current.kind }, "duty not taken");
-            this.cutOffUntil = clock.now() + cutOffTime;
+            this.backOffUntil = clock.now() + unreachableBackOff;
             this.state.send("failed");
             return;
         }
@@ -142,7 +144,7 @@
         const value = { holder: process, incarnation, term };
         const written = await store.write({ table, key, value, expectedVersion: row?.version ?? 0 });
         if (written.kind !== "written") {
-            // A write without a reply may yet take effect; the next try reads what is there.
+            // A write without a reply may still take effect; the next attempt reads the row again.
             logger.info({ term, result: written.kind }, "duty not taken");
             this.state.send("failed");
             return;
@@ -152,53 +154,54 @@
             this.highestTerm = term;
             this.confirmedAt = asked;
             logger.info({ term }, "duty taken");
-            this.followRow();
+            this.watchRow();
         }
     }
 
-    private followRow(): void {
+    private watchRow(): void {
         const { clock, store } = this.options;
         this.watch?.stop();
         const watch = new TableWatch({
             clock,
             store,
             table,
-            wait: watchWait,
+            wait: watchTimeout,
             eras: this.options.eras,
             onSnapshot: (rows, _graceEnd, isRestored) => {
                 if (isRestored) {
-                    void this.restore(rows.find(row => row.key === key), watch);
+                    void this.restoreRow(rows.find(row => row.key === key), watch);
                 }
                 else {
-                    this.judge(rows, watch);
+                    this.checkHolder(rows, watch);
                 }
             },
-            onChanges: changes => this.judge(changes.flatMap(({ row }) => row ?? []), watch),
-            onConfirmed: after => this.confirm(after, watch),
+            onChanges: changes => this.checkHolder(changes.flatMap(({ row }) => row ?? []), watch),
+            onConfirmed: after => this.recordConfirmation(after, watch),
         });
         this.watch = watch;
         void watch.run();
     }
 
     /**
-     * The store went back to a copy. The holder writes itself into the row again, under the term that it has, unless another one took
-     * the duty since under a higher one. Until that is done the store confirms nothing, so the age of its last word ends the orders.
+     * Handles that the store was restored from a copy: the holder writes its row again with its term, unless the row
+     * has this term or that of a later holder. Until then the store confirms nothing, so orders stop once the last
+     * confirmation is too old.
      */
-    private async restore(row: StoredRow | undefined, watch: TableWatch): Promise<void> {
+    private async restoreRow(row: StoredRow | undefined, watch: TableWatch): Promise<void> {
         const { store, process, incarnation, logger } = this.options;
         if (this.watch !== watch || (readTerm(row) ?? 0) >= this.heldTerm) {
-            this.judge(row === undefined ? [] : [row], watch);
+            this.checkHolder(row === undefined ? [] : [row], watch);
             return;
         }
         const value = { holder: process, incarnation, term: this.heldTerm };
         const written = await store.write({ table, key, value, expectedVersion: row?.version ?? 0 });
         logger.warn({ term: this.heldTerm, copy: readTerm(row), result: written.kind }, "duty written again");
         if (written.kind !== "written" && this.watch === watch) {
-            this.followRow();
+            this.watchRow();
         }
     }
 
-    private judge(rows: readonly StoredRow[], watch: TableWatch): void {
+    private checkHolder(rows: readonly StoredRow[], watch: TableWatch): void {
         const row = rows.findLast(row => row.key === key);
         const parsed = rowSchema.safeParse(row?.value);
         if (this.watch !== watch || !parsed.success) {
@@ -208,14 +211,15 @@
         this.highestTerm = Math.max(this.highestTerm, term);
         if (holder !== this.options.process || incarnation !== this.options.incarnation || term !== this.heldTerm) {
             watch.stop();
-            // Whoever took the duty did not hear of this holder, so its own word may be under way just as long.
-            this.nextTry = this.options.clock.now() + startDelay;
+            // The new holder had not received heartbeats of this one, so its own heartbeats may also take up to this
+            // delay.
+            this.nextAttemptAt = this.options.clock.now() + startDelay;
             this.state.send("superseded");
             this.options.logger.warn({ term: this.heldTerm, holder, newTerm: term }, "duty lost");
         }
     }
 
-    private confirm(after: Moment, watch: TableWatch): void {
+    private recordConfirmation(after: Moment, watch: TableWatch): void {
         if (this.watch === watch) {
             this.confirmedAt = after;
             if (this.state.send("confirmed")) {
--- a/packages/gateway/src/lib/duty/placementLeaseChart.test.ts
+++ b/packages/gateway/src/lib/duty/placementLeaseChart.test.ts
@@ -6,7 +6,7 @@
 const paths = [[], ["holderSilent"], ["holderSilent", "acquired"], ["holderSilent", "acquired", "unconfirmed"]];
 
 for (const path of paths) {
-    test(`a process that stops takes no duty any more, after ${path.join(", ") || "the start"}`, () => {
+    test(`a stopping process does not acquire the lease, after ${path.join(", ") || "the start"}`, () => {
         const state = new StateChart<string, string>(chart);
         path.forEach(event => state.send(event));
         state.send("released");
