--- a/packages/gateway/src/lib/crashes/CrashParts.ts
+++ b/packages/gateway/src/lib/crashes/CrashParts.ts
@@ -9,7 +9,7 @@
 import { CrashRecords } from "./CrashRecords.js";
 import { CrashWatch } from "./CrashWatch.js";
 
-/** Options of {@link CrashParts}. */
+/** Options of {@link CrashProtection}. */
 export interface CrashPartsOptions {
     readonly clock: Clock;
     readonly store: Store;
--- a/packages/gateway/src/lib/crashes/CrashWatch.ts
+++ b/packages/gateway/src/lib/crashes/CrashWatch.ts
@@ -16,7 +16,7 @@
     readonly replyAge: number | undefined;
 }
 
-/** Options of {@link CrashWatch}. */
+/** Options of {@link CrashDetector}. */
 export interface CrashWatchOptions {
     readonly directory: Pick<TargetDirectory, "get">;
     readonly refusesConnections: (target: Target) => Promise<boolean>;
