--- a/packages/gateway/src/lib/crashes/CrashWatch.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashWatch.test.ts
@@ -7,19 +7,19 @@
 import { silentLogs, testTarget } from "../testing/fixtures.js";
 import { CrashWatch, type CutRun } from "./CrashWatch.js";
 
-function createWatch(listed: Target | undefined, isRefused = true) {
+function createDetector(listed: Target | undefined, isRefused = true) {
     const crashes: CutRun[] = [];
-    let looks = 0;
-    const watch = new CrashWatch({
+    let checks = 0;
+    const detector = new CrashWatch({
         directory: { get: () => listed },
         refusesConnections: () => {
-            looks++;
+            checks++;
             return Promise.resolve(isRefused);
         },
         observation: { logs: silentLogs(), metrics: new GatewayMetrics(new MetricRegistry(new ManualClock())) },
         onCrash: runs => void crashes.push(...runs),
     });
-    return { watch, crashes, looks: () => looks };
+    return { detector, crashes, checks: () => checks };
 }
 
 const target = testTarget("t1", "small");
@@ -27,24 +27,24 @@
 const settled = () => new Promise(resolve => setImmediate(resolve));
 
 test("all runs that a crash interrupts are reported after a single check", async () => {
-    const { watch, crashes, looks } = createWatch(target);
-    ["a", "b", "c"].forEach(digest => watch.runCut({ ...run, digest }));
+    const { detector, crashes, checks } = createDetector(target);
+    ["a", "b", "c"].forEach(digest => detector.runCut({ ...run, digest }));
     await settled();
     assert.deepEqual(crashes.map(({ digest }) => digest), ["a", "b", "c"]);
-    assert.equal(looks(), 1);
+    assert.equal(checks(), 1);
 });
 
 test("a target that interrupted a run but accepts connections has not crashed", async () => {
-    const { watch, crashes } = createWatch(target, false);
-    watch.runCut(run);
+    const { detector, crashes } = createDetector(target, false);
+    detector.runCut(run);
     await settled();
     assert.deepEqual(crashes, []);
 });
 
 test("a target that is draining or no longer listed does not count as crashed", async () => {
     for (const listed of [undefined, { ...target, state: "draining" as const }]) {
-        const { watch, crashes } = createWatch(listed);
-        watch.runCut(run);
+        const { detector, crashes } = createDetector(listed);
+        detector.runCut(run);
         await settled();
         assert.deepEqual(crashes, []);
     }
