--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -8,7 +8,7 @@
 import { type Configuration } from "./configuration/Configuration.js";
 import { ConfigurationInForce } from "./configuration/ConfigurationInForce.js";
 import { createConfigurationWatch } from "./configuration/createConfigurationWatch.js";
-import { CrashParts } from "./crashes/CrashParts.js";
+import { CrashProtection } from "./crashes/CrashProtection.js";
 import { createTargetWatch } from "./directory/createTargetWatch.js";
 import { type DirectoryChange, TargetDirectory } from "./directory/TargetDirectory.js";
 import { type DecodedTarget } from "./directory/TargetList.js";
@@ -95,7 +95,7 @@
     private readonly suspicions: TargetSuspicions;
     private readonly paces: TargetPaces;
     private readonly services = new Map<string, ServiceParts>();
-    private readonly crashes: CrashParts;
+    private readonly crashes: CrashProtection;
     private readonly startQueue: StartQueue;
     private readonly callers: CallerServer;
     private readonly readiness: ReadinessServer;
@@ -125,7 +125,7 @@
         this.directory = new TargetDirectory({ clock, onChange: change => this.handleTargetChange(change) });
         this.suspicions = new TargetSuspicions(clock);
         this.paces = new TargetPaces(clock);
-        this.crashes = new CrashParts({
+        this.crashes = new CrashProtection({
             clock,
             store,
             eras,
@@ -184,7 +184,7 @@
             onWord: (table, tableStatus, after) => this.receiveTableStatus(table, tableStatus, after),
             onSums: ({ slowTargets, crashes }) => {
                 this.paces.recordPeerReports(slowTargets);
-                this.crashes.counts.hear(crashes);
+                this.crashes.counts.recordPeerCounts(crashes);
             },
         });
         this.lease = new PlacementLease({
@@ -352,7 +352,7 @@
             },
             `target ${kind}`,
         );
-        this.crashes.guard.noteTarget(change);
+        this.crashes.guard.handleTargetChange(change);
         if (kind === "restarted") {
             this.suspicions.clear(id);
             this.paces.forget(id);
--- a/packages/gateway/src/lib/chains/ChainRouter.test.ts
+++ b/packages/gateway/src/lib/chains/ChainRouter.test.ts
@@ -110,6 +110,6 @@
 test("streams that are resumed at the same time are spread over all chains, unlike new requests", () => {
     const resumed = resumeStreams(4, router => router.chooseToResume(testEngine, none));
     assert.deepEqual([...resumed.values()], [2, 2]);
-    const asNewRequests = resumeStreams(4, router => router.chooseWell(testEngine, none));
+    const asNewRequests = resumeStreams(4, router => router.chooseHealthy(testEngine, none));
     assert.deepEqual([...asNewRequests.entries()], [["x", 4]]);
 });
--- a/packages/gateway/src/lib/chains/ChainRouter.ts
+++ b/packages/gateway/src/lib/chains/ChainRouter.ts
@@ -116,7 +116,7 @@
     }
 
     /** Like {@link ChainRouter.choose}, but leaves out chains that are avoided after a stall. */
-    chooseWell(engine: Engine, excluded: ReadonlySet<string>): ChainLoad | undefined {
+    chooseHealthy(engine: Engine, excluded: ReadonlySet<string>): ChainLoad | undefined {
         const now = this.options.clock.now();
         const healthy = this.current(engine).filter(load => load.avoidedUntil <= now);
         return cheapest(healthy.filter(({ chain }) => !excluded.has(chain.key)), load => this.cost(load));
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -124,15 +124,15 @@
 
     /** Chooses a chain that is not in `failed`; a chain that is avoided after a stall only if there is no other. */
     choose(failed: ReadonlySet<string>): ChainLoad | undefined {
-        return this.chooseWell(failed) ?? this.router.choose(this.options.engine, failed);
+        return this.chooseHealthy(failed) ?? this.router.choose(this.options.engine, failed);
     }
 
     /**
      * Like {@link ChainService.choose}, but never a chain that stalled recently: a retry there would waste retry
      * budget.
      */
-    chooseWell(failed: ReadonlySet<string>): ChainLoad | undefined {
-        return this.router.chooseWell(this.options.engine, failed);
+    chooseHealthy(failed: ReadonlySet<string>): ChainLoad | undefined {
+        return this.router.chooseHealthy(this.options.engine, failed);
     }
 
     /** Chooses the chain on which an interrupted stream is resumed. */
@@ -141,10 +141,10 @@
     }
 
     /**
-     * Like {@link ChainService.chooseWell}, but never a full chain: a queued request gains nothing from another queue.
+     * Like {@link ChainService.chooseHealthy}, but never a full chain: a queued request gains nothing from another queue.
      */
     chooseWithRoom(failed: ReadonlySet<string>): ChainLoad | undefined {
-        const load = this.chooseWell(failed);
+        const load = this.chooseHealthy(failed);
         return load !== undefined && this.router.hasRoom(load) ? load : undefined;
     }
 
--- a/packages/gateway/src/lib/crashes/CrashCounts.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashCounts.test.ts
@@ -7,7 +7,7 @@
     const counts = new CrashCounts(new ManualClock(1));
     counts.add("a");
     counts.add("a");
-    counts.hear({ a: 1, b: 2 });
+    counts.recordPeerCounts({ a: 1, b: 2 });
     assert.equal(counts.of("a"), 3);
     assert.equal(counts.of("b"), 2);
     counts.clear("a");
@@ -16,16 +16,16 @@
 
 test("crashes reported by others still count when the next heartbeat omits them", () => {
     const counts = new CrashCounts(new ManualClock(1));
-    counts.hear({ a: 3 });
-    counts.hear({ b: 1 });
-    counts.hear({ a: 2 });
+    counts.recordPeerCounts({ a: 3 });
+    counts.recordPeerCounts({ b: 1 });
+    counts.recordPeerCounts({ a: 2 });
     assert.equal(counts.of("a"), 3);
 });
 
 test("requests with the most crashes over all gateways are reported first", () => {
     const counts = new CrashCounts(new ManualClock(1));
     ["a", "b", "c", "c"].forEach(digest => counts.add(digest));
-    counts.hear({ a: 4 });
+    counts.recordPeerCounts({ a: 4 });
     assert.deepEqual(Object.keys(counts.listSeen()), ["a", "c", "b"]);
 });
 
--- a/packages/gateway/src/lib/crashes/CrashCounts.ts
+++ b/packages/gateway/src/lib/crashes/CrashCounts.ts
@@ -43,7 +43,7 @@
     }
 
     /** Records the sums that the other gateways report. */
-    hear(counts: Readonly<Record<string, number>>): void {
+    recordPeerCounts(counts: Readonly<Record<string, number>>): void {
         for (const [digest, count] of Object.entries(counts)) {
             this.told.set(digest, Math.max(count, this.told.get(digest) ?? 0));
         }
--- a/packages/gateway/src/lib/crashes/CrashWatch.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashDetector.test.ts
@@ -5,12 +5,12 @@
 import { type Target } from "../directory/Target.js";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { silentLogs, testTarget } from "../testing/fixtures.js";
-import { CrashWatch, type CutRun } from "./CrashWatch.js";
+import { CrashDetector, type InterruptedRun } from "./CrashDetector.js";
 
 function createDetector(listed: Target | undefined, isRefused = true) {
-    const crashes: CutRun[] = [];
+    const crashes: InterruptedRun[] = [];
     let checks = 0;
-    const detector = new CrashWatch({
+    const detector = new CrashDetector({
         directory: { get: () => listed },
         refusesConnections: () => {
             checks++;
@@ -23,12 +23,12 @@
 }
 
 const target = testTarget("t1", "small");
-const run: CutRun = { request: "r", digest: "d", target, after: 80, replyAge: undefined };
+const run: InterruptedRun = { request: "r", digest: "d", target, after: 80, replyAge: undefined };
 const settled = () => new Promise(resolve => setImmediate(resolve));
 
 test("all runs that a crash interrupts are reported after a single check", async () => {
     const { detector, crashes, checks } = createDetector(target);
-    ["a", "b", "c"].forEach(digest => detector.runCut({ ...run, digest }));
+    ["a", "b", "c"].forEach(digest => detector.handleInterruptedRun({ ...run, digest }));
     await settled();
     assert.deepEqual(crashes.map(({ digest }) => digest), ["a", "b", "c"]);
     assert.equal(checks(), 1);
@@ -36,7 +36,7 @@
 
 test("a target that interrupted a run but accepts connections has not crashed", async () => {
     const { detector, crashes } = createDetector(target, false);
-    detector.runCut(run);
+    detector.handleInterruptedRun(run);
     await settled();
     assert.deepEqual(crashes, []);
 });
@@ -44,7 +44,7 @@
 test("a target that is draining or no longer listed does not count as crashed", async () => {
     for (const listed of [undefined, { ...target, state: "draining" as const }]) {
         const { detector, crashes } = createDetector(listed);
-        detector.runCut(run);
+        detector.handleInterruptedRun(run);
         await settled();
         assert.deepEqual(crashes, []);
     }
--- a/packages/gateway/src/lib/crashes/CrashWatch.ts
+++ b/packages/gateway/src/lib/crashes/CrashDetector.ts
@@ -3,7 +3,7 @@
 import { type Observation } from "../observation/Observation.js";
 
 /** A run that was interrupted because its target closed or reset the connection. */
-export interface CutRun {
+export interface InterruptedRun {
     /** Id of the caller's attempt. */
     readonly request: string | undefined;
     /** Identifies the request over all attempts of its caller. */
@@ -17,12 +17,12 @@
 }
 
 /** Options of {@link CrashDetector}. */
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
     readonly directory: Pick<TargetDirectory, "get">;
     readonly refusesConnections: (target: Target) => Promise<boolean>;
     readonly observation: Observation;
     /** Called with all runs that a crash of their target interrupted. */
-    readonly onCrash?: (runs: readonly CutRun[]) => void;
+    readonly onCrash?: (runs: readonly InterruptedRun[]) => void;
 }
 
 /**
@@ -30,16 +30,16 @@
  * targets reset connections too; the target must also refuse new ones. A draining target ends its process as well, so
  * it is left out.
  */
-export class CrashWatch {
+export class CrashDetector {
     /**
      * Interrupted runs by the incarnation of their target. A crash interrupts many runs, and one check covers them all.
      */
-    private readonly waiting = new Map<string, CutRun[]>();
+    private readonly waiting = new Map<string, InterruptedRun[]>();
 
-    constructor(private readonly options: CrashWatchOptions) {}
+    constructor(private readonly options: CrashDetectorOptions) {}
 
     /** Checks the target of a run that was interrupted after its request had been sent. */
-    runCut(run: CutRun): void {
+    handleInterruptedRun(run: InterruptedRun): void {
         const incarnation = incarnationOf(run.target);
         const waiting = this.waiting.get(incarnation);
         if (waiting !== undefined) {
@@ -64,7 +64,7 @@
         return !isLeaving && await refusesConnections(target);
     }
 
-    private recordCrash(run: CutRun, runs: number): void {
+    private recordCrash(run: InterruptedRun, runs: number): void {
         const { observation } = this.options;
         const { request, digest, target, after, replyAge } = run;
         observation.metrics.crashedRuns.add({});
--- a/packages/gateway/src/lib/crashes/CrashGuard.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.test.ts
@@ -6,11 +6,11 @@
 import { silentLogs, testTarget } from "../testing/fixtures.js";
 import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { CrashCounts } from "./CrashCounts.js";
-import { CrashGuard, type HoldBack } from "./CrashGuard.js";
+import { type InterruptedRun } from "./CrashDetector.js";
+import { CrashGuard, type CrashRefusal } from "./CrashGuard.js";
 import { CrashRecords } from "./CrashRecords.js";
-import { type CutRun } from "./CrashWatch.js";
 
-const run: CutRun = {
+const run: InterruptedRun = {
     request: "attempt",
     digest: "a",
     target: testTarget("t1", "small"),
@@ -30,12 +30,12 @@
         records,
         observation: { logs, metrics: new GatewayMetrics(new MetricRegistry(clock)) },
     });
-    const crash = (times: number, cut: Partial<CutRun> = {}) => {
+    const crash = (times: number, cut: Partial<InterruptedRun> = {}) => {
         for (let time = 0; time < times; time++) {
             guard.recordCrash([{ ...run, ...cut }]);
         }
     };
-    const request = async (digest = "a", canSend = () => true): Promise<HoldBack | undefined> => {
+    const request = async (digest = "a", canSend = () => true): Promise<CrashRefusal | undefined> => {
         const result = guard.requestRetrial(digest, canSend);
         await clock.advanceAsync(100);
         return result;
@@ -46,23 +46,23 @@
 test("a request is suspect from its third crash on", () => {
     const { guard, crash } = createGuard();
     crash(2);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(1);
-    assert.equal(guard.standing("a"), "suspect");
-    assert.equal(guard.standing("b"), "free");
+    assert.equal(guard.getStatus("a"), "suspect");
+    assert.equal(guard.getStatus("b"), "free");
 });
 
 test("crashes at other gateways count as well", () => {
     const { counts, guard, crash } = createGuard();
-    counts.hear({ a: 2 });
+    counts.recordPeerCounts({ a: 2 });
     crash(1);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
 test("a request whose reply had started long enough ago did not cause the crash", () => {
     const { guard, crash } = createGuard();
     crash(5, { replyAge: 300 });
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
 });
 
 test("a suspect is condemned after two more runs that crash their targets", async () => {
@@ -74,21 +74,21 @@
         guard.endTurn();
     }
     assert.match((await request())?.reason ?? "", /every target/);
-    assert.equal(guard.standing("a"), "condemned");
+    assert.equal(guard.getStatus("a"), "condemned");
 });
 
 test("one successful run excuses a suspect, which becomes suspect again after as many crashes as before", async () => {
     const { clock, guard, crash, request } = createGuard();
     crash(3);
     await request();
-    guard.noteWell("a");
+    guard.recordSuccess("a");
     guard.endTurn();
     await clock.advanceAsync(100);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(2);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(4);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
 test("suspects run one after the other", async () => {
@@ -135,22 +135,22 @@
     const held = guard.requestRetrial("a", () => true);
     await clock.advanceAsync(3_000);
     assert.equal((await held)?.retryAfter, 1_000);
-    assert.equal(guard.standing("b"), "free");
+    assert.equal(guard.getStatus("b"), "free");
 });
 
 test("crashes recorded by other gateways are read after a ready target was removed", async () => {
     const { clock, store, counts, guard } = createGuard();
     store.put("a", { crashes: 3, retrials: 0, writtenAt: clock.now() });
-    guard.noteTarget({ kind: "removed", target: run.target });
+    guard.handleTargetChange({ kind: "removed", target: run.target });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "free");
-    counts.hear({ other: 1 });
-    guard.noteTarget({ kind: "removed", target: { ...run.target, state: "draining" } });
+    assert.equal(guard.getStatus("a"), "free");
+    counts.recordPeerCounts({ other: 1 });
+    guard.handleTargetChange({ kind: "removed", target: { ...run.target, state: "draining" } });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "free");
-    guard.noteTarget({ kind: "removed", target: run.target });
+    assert.equal(guard.getStatus("a"), "free");
+    guard.handleTargetChange({ kind: "removed", target: run.target });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
 test("of a crash that interrupted many runs, only those of requests interrupted before are recorded", async () => {
@@ -171,5 +171,5 @@
     store.put("a", { crashes: 0, retrials: 2, writtenAt: clock.now() });
     records.start();
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "condemned");
+    assert.equal(guard.getStatus("a"), "condemned");
 });
--- a/packages/gateway/src/lib/crashes/CrashGuard.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.ts
@@ -2,8 +2,8 @@
 import { type DirectoryChange } from "../directory/TargetDirectory.js";
 import { type Observation } from "../observation/Observation.js";
 import { type CrashCounts } from "./CrashCounts.js";
+import { type InterruptedRun } from "./CrashDetector.js";
 import { type CrashRecord, type CrashRecords } from "./CrashRecords.js";
-import { type CutRun } from "./CrashWatch.js";
 
 /** Options of {@link CrashGuard}. */
 export interface CrashGuardOptions {
@@ -23,7 +23,7 @@
     | "condemned";
 
 /** Why a request may not be sent. */
-export interface HoldBack {
+export interface CrashRefusal {
     readonly reason: string;
     /** Milliseconds after which the caller may retry; undefined when a retry is pointless. */
     readonly retryAfter: number | undefined;
@@ -41,7 +41,7 @@
  * Milliseconds after the start of a reply from which the run counts as successful: a request that crashes targets does
  * so soon after it starts to run.
  */
-export const settleTime = 300;
+export const safeReplyAge = 300;
 /** Milliseconds for which a suspect waits for its turn: callers abandon a stream that is silent for 2 s. */
 const turnTimeout = 1_500;
 /** Milliseconds after which a caller may retry: after its request got no turn, or while the store was unavailable. */
@@ -65,7 +65,7 @@
     constructor(private readonly options: CrashGuardOptions) {}
 
     /** Returns whether a request may be sent, according to the crashes that this process knows of. */
-    standing(digest: string): CrashStatus {
+    getStatus(digest: string): CrashStatus {
         const { records } = this.options;
         if (!this.isSuspect(digest, records.get(digest))) {
             return "free";
@@ -79,18 +79,18 @@
      * only requests that were interrupted by a crash before, since nearly all others are not the cause, and each write
      * is a call to the store.
      */
-    recordCrash(runs: readonly CutRun[]): void {
+    recordCrash(runs: readonly InterruptedRun[]): void {
         const { counts, records, observation } = this.options;
-        const suspectRuns = runs.filter(({ replyAge }) => replyAge === undefined || replyAge < settleTime);
+        const suspectRuns = runs.filter(({ replyAge }) => replyAge === undefined || replyAge < safeReplyAge);
         const withoutReply = suspectRuns.filter(({ replyAge }) => replyAge === undefined);
         for (const { digest, request, replyAge } of suspectRuns) {
-            const wasFree = this.standing(digest) === "free";
+            const wasFree = this.getStatus(digest) === "free";
             const isRepeated = counts.hasSeen(digest);
             counts.add(digest);
             if (isRepeated || (replyAge === undefined && withoutReply.length <= maxRecordedRuns)) {
                 void records.addCrash(digest);
             }
-            if (wasFree && this.standing(digest) !== "free") {
+            if (wasFree && this.getStatus(digest) !== "free") {
                 const { seen, told } = counts.parts(digest);
                 observation.logs.requests.warn(
                     { request, digest, crashes: this.crashesOf(digest), seen, told },
@@ -104,7 +104,7 @@
      * Reads the records of other gateways when a target was removed or restarted without draining, since it may have
      * crashed. While no crash is known at all, targets change for other reasons, and the read is skipped.
      */
-    noteTarget({ kind, target }: DirectoryChange): void {
+    handleTargetChange({ kind, target }: DirectoryChange): void {
         const { counts, records } = this.options;
         const isLost = kind === "restarted" || (kind === "removed" && target.state === "ready");
         if (isLost && !counts.isEmpty) {
@@ -113,9 +113,9 @@
     }
 
     /** Records that the request ran without a crash. */
-    noteWell(digest: string): void {
+    recordSuccess(digest: string): void {
         const { counts, records } = this.options;
-        if (this.standing(digest) !== "free") {
+        if (this.getStatus(digest) !== "free") {
             this.log(digest, "excused");
             void records.excuse(digest, this.crashesOf(digest));
         }
@@ -128,7 +128,7 @@
      * @param canSend - Whether the run could start now; if not, none is used up.
      * @returns Why the request may not run; undefined when the run is granted.
      */
-    async requestRetrial(digest: string, canSend: () => boolean): Promise<HoldBack | undefined> {
+    async requestRetrial(digest: string, canSend: () => boolean): Promise<CrashRefusal | undefined> {
         if (!await this.takeTurn()) {
             return {
                 reason: "targets crashed while running this request, and other such requests run first",
@@ -155,7 +155,7 @@
     }
 
     /** The refusal of a condemned request. */
-    get condemned(): HoldBack {
+    get condemned(): CrashRefusal {
         return { reason: "every target that ran it crashed", retryAfter: undefined };
     }
 
--- a/packages/gateway/src/lib/crashes/CrashParts.ts
+++ b/packages/gateway/src/lib/crashes/CrashProtection.ts
@@ -5,12 +5,12 @@
 import { type Store } from "../store/Store.js";
 import { type StoreEras } from "../store/StoreEras.js";
 import { CrashCounts } from "./CrashCounts.js";
+import { CrashDetector } from "./CrashDetector.js";
 import { CrashGuard } from "./CrashGuard.js";
 import { CrashRecords } from "./CrashRecords.js";
-import { CrashWatch } from "./CrashWatch.js";
 
 /** Options of {@link CrashProtection}. */
-export interface CrashPartsOptions {
+export interface CrashProtectionOptions {
     readonly clock: Clock;
     readonly store: Store;
     readonly eras?: StoreEras;
@@ -20,17 +20,17 @@
 }
 
 /** Components that protect targets against requests which crash them. */
-export class CrashParts {
+export class CrashProtection {
     readonly counts: CrashCounts;
     readonly records: CrashRecords;
     readonly guard: CrashGuard;
-    readonly watch: CrashWatch;
+    readonly detector: CrashDetector;
 
-    constructor({ clock, store, eras, directory, refusesConnections, observation }: CrashPartsOptions) {
+    constructor({ clock, store, eras, directory, refusesConnections, observation }: CrashProtectionOptions) {
         this.counts = new CrashCounts(clock);
         this.records = new CrashRecords({ clock, store, eras, logger: observation.logs.requests });
         this.guard = new CrashGuard({ clock, counts: this.counts, records: this.records, observation });
-        this.watch = new CrashWatch({
+        this.detector = new CrashDetector({
             directory,
             refusesConnections,
             observation,
--- a/packages/gateway/src/lib/duty/PlacementDuty.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.ts
@@ -15,7 +15,7 @@
 import { DataCentreChain } from "./DataCentreChain.js";
 import { PaceWatch } from "./PaceWatch.js";
 import { type PlacementLease } from "./PlacementLease.js";
-import { type ListedTarget, TargetOrderState } from "./TargetWork.js";
+import { type ListedTarget, TargetOrderState } from "./TargetOrderState.js";
 
 /** Options of {@link PlacementDuty}. */
 export interface PlacementDutyOptions {
--- a/packages/gateway/src/lib/duty/TargetWork.test.ts
+++ b/packages/gateway/src/lib/duty/TargetOrderState.test.ts
@@ -4,7 +4,7 @@
 import { type EngineReport } from "../chains/EngineControl.js";
 import { type LayerRange } from "../directory/Target.js";
 import { testTarget } from "../testing/fixtures.js";
-import { type ListedTarget, TargetOrderState } from "./TargetWork.js";
+import { type ListedTarget, TargetOrderState } from "./TargetOrderState.js";
 
 const first: LayerRange = { first: 0, end: 10 };
 const second: LayerRange = { first: 10, end: 20 };
--- a/packages/gateway/src/lib/requests/ChainChoice.test.ts
+++ b/packages/gateway/src/lib/requests/ChainChoice.test.ts
@@ -26,7 +26,7 @@
     const first = (excluded: ReadonlySet<string>) => loads.find(({ chain }) => !excluded.has(chain.key));
     const last = (excluded: ReadonlySet<string>) => loads.findLast(({ chain }) => !excluded.has(chain.key));
     return new ChainChoice({
-        service: { choose: first, chooseWell: first, chooseWithRoom: first, chooseToResume: last },
+        service: { choose: first, chooseHealthy: first, chooseWithRoom: first, chooseToResume: last },
         limits: { isRetry: isRetry, maySendTo: target => allowed.some(key => target === `head of ${key}`) },
         running: () => running,
     });
--- a/packages/gateway/src/lib/requests/ChainChoice.ts
+++ b/packages/gateway/src/lib/requests/ChainChoice.ts
@@ -4,7 +4,7 @@
 
 /** Options of {@link ChainChoice}. */
 export interface ChainChoiceOptions {
-    readonly service: Pick<ChainService, "choose" | "chooseWell" | "chooseToResume" | "chooseWithRoom">;
+    readonly service: Pick<ChainService, "choose" | "chooseHealthy" | "chooseToResume" | "chooseWithRoom">;
     readonly limits: Pick<AttemptLimits, "isRetry" | "maySendTo">;
     /** Keys of the chains that the request is running on. */
     readonly running: () => readonly string[];
@@ -49,7 +49,7 @@
 
     /** @returns A healthy chain other than those that the request is running on. */
     chooseAlternative(): ChainLoad | undefined {
-        return this.choose(excluded => this.options.service.chooseWell(excluded), this.failed);
+        return this.choose(excluded => this.options.service.chooseHealthy(excluded), this.failed);
     }
 
     /** @returns A healthy chain with room, other than those that the request is running on. */
--- a/packages/gateway/src/lib/requests/CrashCheck.ts
+++ b/packages/gateway/src/lib/requests/CrashCheck.ts
@@ -1,4 +1,4 @@
-import { type CrashGuard, type HoldBack } from "../crashes/CrashGuard.js";
+import { type CrashGuard, type CrashRefusal } from "../crashes/CrashGuard.js";
 import { type Target } from "../directory/Target.js";
 import { type CallerExchange } from "./CallerExchange.js";
 import { type RequestContext } from "./RequestContext.js";
@@ -30,13 +30,13 @@
 
     /** Whether the request may be sent without a retrial. */
     get isUnsuspected(): boolean {
-        return this.guard.standing(this.digest) === "free";
+        return this.guard.getStatus(this.digest) === "free";
     }
 
     /** Calls either `send`, possibly after waiting for a turn, or `onRefused` with the reason for not sending. */
-    checkBeforeSend(send: () => void, onRefused: (refusal: HoldBack) => void): void {
+    checkBeforeSend(send: () => void, onRefused: (refusal: CrashRefusal) => void): void {
         this.end();
-        const standing = this.guard.standing(this.digest);
+        const standing = this.guard.getStatus(this.digest);
         if (standing === "free") {
             send();
         }
@@ -52,7 +52,7 @@
     noteSuccess(): void {
         if (!this.hasSucceeded) {
             this.hasSucceeded = true;
-            this.guard.noteWell(this.digest);
+            this.guard.recordSuccess(this.digest);
             this.end();
         }
     }
@@ -61,7 +61,7 @@
     noteInterrupted({ target, startedAt, repliedAt }: InterruptedSend): void {
         const { context, caller } = this.options;
         const now = context.clock.now();
-        context.crashes.watch.runCut({
+        context.crashes.detector.handleInterruptedRun({
             request: caller.request.id,
             digest: caller.digest,
             target,
@@ -86,7 +86,7 @@
         return this.options.caller.digest;
     }
 
-    private async requestRetrial(send: () => void, onRefused: (refusal: HoldBack) => void): Promise<void> {
+    private async requestRetrial(send: () => void, onRefused: (refusal: CrashRefusal) => void): Promise<void> {
         const { caller, canSend } = this.options;
         const refusal = await this.guard.requestRetrial(this.digest, () => !caller.ended && canSend());
         this.hasTurn = refusal === undefined;
--- a/packages/gateway/src/lib/requests/PlainRun.ts
+++ b/packages/gateway/src/lib/requests/PlainRun.ts
@@ -1,5 +1,5 @@
 import { requestCodes, type Timer } from "@waxwingspar/utils";
-import { type HoldBack } from "../crashes/CrashGuard.js";
+import { type CrashRefusal } from "../crashes/CrashGuard.js";
 import { type Target } from "../directory/Target.js";
 import { type ExchangeVerdict, type ServicePicker } from "../services/ServicePicker.js";
 import { type ExchangeFailure, type OpenExchange, type ReplyMessage } from "../upstream/Exchange.js";
@@ -240,7 +240,7 @@
     }
 
     /** Ends a request that is not sent again because targets crashed while running it. */
-    private refuseSuspect({ reason, retryAfter }: HoldBack): void {
+    private refuseSuspect({ reason, retryAfter }: CrashRefusal): void {
         if (this.failedReply !== undefined || this.limits.mayHaveRun) {
             this.giveUp(reason);
             return;
--- a/packages/gateway/src/lib/requests/RequestContext.ts
+++ b/packages/gateway/src/lib/requests/RequestContext.ts
@@ -1,5 +1,5 @@
 import { type Clock } from "@waxwingspar/utils";
-import { type CrashParts } from "../crashes/CrashParts.js";
+import { type CrashProtection } from "../crashes/CrashProtection.js";
 import { type MechanismSwitch } from "../Mechanisms.js";
 import { type Observation } from "../observation/Observation.js";
 import { type ExchangeOptions, type OpenExchange } from "../upstream/Exchange.js";
@@ -14,7 +14,7 @@
     readonly budget: RetryBudget;
     /** Maximum milliseconds until a connection to a target is established: several round trips and a lost packet. */
     readonly connectTimeout: number;
-    readonly crashes: Pick<CrashParts, "watch" | "guard">;
+    readonly crashes: Pick<CrashProtection, "detector" | "guard">;
     /** Sends a request to a target. */
     readonly openExchange: (options: ExchangeOptions) => OpenExchange;
     readonly isOn: MechanismSwitch;
--- a/packages/gateway/src/lib/requests/RequestRouter.ts
+++ b/packages/gateway/src/lib/requests/RequestRouter.ts
@@ -2,7 +2,7 @@
 import { type ChainService } from "../chains/ChainService.js";
 import { type Route } from "../configuration/Configuration.js";
 import { type ConfigurationInForce } from "../configuration/ConfigurationInForce.js";
-import { type CrashParts } from "../crashes/CrashParts.js";
+import { type CrashProtection } from "../crashes/CrashProtection.js";
 import { type MechanismSwitch } from "../Mechanisms.js";
 import { type Observation } from "../observation/Observation.js";
 import { type ReceivedRequest } from "../server/CallerServer.js";
@@ -32,7 +32,7 @@
     readonly findService: (name: string) => ServiceParts | undefined;
     /** Whether any peer is currently able to check credentials. */
     readonly hasConfirmedPeer: () => boolean;
-    readonly crashes: Pick<CrashParts, "watch" | "guard">;
+    readonly crashes: Pick<CrashProtection, "detector" | "guard">;
     readonly isOn: MechanismSwitch;
     /** Milliseconds since the list of targets was last confirmed. */
     readonly targetListAge: () => number;
--- a/packages/gateway/src/lib/requests/StreamRun.ts
+++ b/packages/gateway/src/lib/requests/StreamRun.ts
@@ -1,7 +1,7 @@
 import { requestCodes, type Timer } from "@waxwingspar/utils";
 import { type ChainLoad } from "../chains/ChainRouter.js";
 import { type ChainService } from "../chains/ChainService.js";
-import { type HoldBack, settleTime } from "../crashes/CrashGuard.js";
+import { type CrashRefusal, safeReplyAge } from "../crashes/CrashGuard.js";
 import { type ExchangeFailure, type ReplyMessage } from "../upstream/Exchange.js";
 import { type AttemptEnd, AttemptLimits } from "./AttemptLimits.js";
 import { type CallerExchange } from "./CallerExchange.js";
@@ -109,7 +109,7 @@
         }
         const newEvents = attempt.take(chunk).filter(event => this.isNew(event));
         const { firstEventAt } = attempt;
-        if (firstEventAt !== undefined && this.context.clock.now() - firstEventAt >= settleTime) {
+        if (firstEventAt !== undefined && this.context.clock.now() - firstEventAt >= safeReplyAge) {
             this.crashCheck.noteSuccess();
         }
         if (newEvents.length === 0) {
@@ -327,7 +327,7 @@
     }
 
     /** Ends a request that is not sent again because targets crashed while running it. */
-    private refuseSuspect({ reason, retryAfter }: HoldBack): void {
+    private refuseSuspect({ reason, retryAfter }: CrashRefusal): void {
         if (this.limits.mayHaveRun || this.caller.headSent) {
             this.giveUp(reason);
             return;
--- a/packages/gateway/src/lib/testing/CrashingSite.ts
+++ b/packages/gateway/src/lib/testing/CrashingSite.ts
@@ -134,7 +134,7 @@
             gateways: () => group.size.value,
         });
         const { chains, crashes, directory, suspicions } = router;
-        group.onPeerSums(others => crashes.counts.hear(others.crashes));
+        group.onPeerSums(others => crashes.counts.recordPeerCounts(others.crashes));
         group.overrideState(() => ({
             crashes: crashes.counts.listSeen(),
             chainLoads: Object.fromEntries(chains.headLoads()),
--- a/packages/gateway/src/lib/testing/SimulatedRouter.ts
+++ b/packages/gateway/src/lib/testing/SimulatedRouter.ts
@@ -5,7 +5,7 @@
 import { TargetPaces } from "../chains/TargetPaces.js";
 import { TargetSuspicions } from "../chains/TargetSuspicions.js";
 import { type Route } from "../configuration/Configuration.js";
-import { CrashParts } from "../crashes/CrashParts.js";
+import { CrashProtection } from "../crashes/CrashProtection.js";
 import { TargetDirectory } from "../directory/TargetDirectory.js";
 import { allMechanismsOn } from "../Mechanisms.js";
 import { GatewayMetrics } from "../observation/Observation.js";
@@ -67,7 +67,7 @@
 export class SimulatedRouter {
     readonly directory: TargetDirectory;
     readonly suspicions: TargetSuspicions;
-    readonly crashes: CrashParts;
+    readonly crashes: CrashProtection;
     readonly chains: ChainService;
     readonly context: RequestContext;
     readonly metrics: GatewayMetrics;
@@ -77,8 +77,11 @@
         this.metrics = new GatewayMetrics(new MetricRegistry(clock));
         const observation = { logs: silentLogs(), metrics: this.metrics };
         this.suspicions = new TargetSuspicions(clock);
-        this.directory = new TargetDirectory({ clock, onChange: change => this.crashes.guard.noteTarget(change) });
-        this.crashes = new CrashParts({
+        this.directory = new TargetDirectory({
+            clock,
+            onChange: change => this.crashes.guard.handleTargetChange(change),
+        });
+        this.crashes = new CrashProtection({
             clock,
             store,
             directory: this.directory,
