--- a/packages/gateway/src/lib/crashes/CrashGuard.test.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.test.ts
@@ -6,11 +6,11 @@
 import { silentLogs, testTarget } from "../testing/fixtures.js";
 import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { CrashCounts } from "./CrashCounts.js";
-import { CrashGuard, type HoldBack } from "./CrashGuard.js";
+import { type InterruptedRun } from "./CrashDetector.js";
+import { CrashGuard, type CrashRefusal } from "./CrashGuard.js";
 import { CrashRecords } from "./CrashRecords.js";
-import { type CutRun } from "./CrashWatch.js";
 
-const run: CutRun = {
+const run: InterruptedRun = {
     request: "attempt",
     digest: "a",
     target: testTarget("t1", "small"),
@@ -30,12 +30,12 @@
         records,
         observation: { logs, metrics: new GatewayMetrics(new MetricRegistry(clock)) },
     });
-    const crash = (times: number, cut: Partial<CutRun> = {}) => {
+    const crash = (times: number, cut: Partial<InterruptedRun> = {}) => {
         for (let time = 0; time < times; time++) {
-            guard.noteCrash([{ ...run, ...cut }]);
+            guard.recordCrash([{ ...run, ...cut }]);
         }
     };
-    const request = async (digest = "a", canSend = () => true): Promise<HoldBack | undefined> => {
+    const request = async (digest = "a", canSend = () => true): Promise<CrashRefusal | undefined> => {
         const result = guard.requestRetrial(digest, canSend);
         await clock.advanceAsync(100);
         return result;
@@ -46,26 +46,26 @@
 test("a request is suspect from its third crash on", () => {
     const { guard, crash } = createGuard();
     crash(2);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(1);
-    assert.equal(guard.standing("a"), "suspect");
-    assert.equal(guard.standing("b"), "free");
+    assert.equal(guard.getStatus("a"), "suspect");
+    assert.equal(guard.getStatus("b"), "free");
 });
 
 test("crashes at other gateways count as well", () => {
     const { counts, guard, crash } = createGuard();
-    counts.hear({ a: 2 });
+    counts.recordPeerCounts({ a: 2 });
     crash(1);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
-test("a request whose reply was well under way has not crashed its target", () => {
+test("a request whose reply had started long enough ago did not cause the crash", () => {
     const { guard, crash } = createGuard();
     crash(5, { replyAge: 300 });
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
 });
 
-test("two runs that crash their targets as well condemn it", async () => {
+test("a suspect is condemned after two more runs that crash their targets", async () => {
     const { guard, crash, request } = createGuard();
     crash(3);
     for (const retrial of [1, 2]) {
@@ -74,21 +74,21 @@
         guard.endTurn();
     }
     assert.match((await request())?.reason ?? "", /every target/);
-    assert.equal(guard.standing("a"), "condemned");
+    assert.equal(guard.getStatus("a"), "condemned");
 });
 
-test("one run that goes well excuses it, and as many crashes as at first make it suspect again", async () => {
+test("one successful run excuses a suspect, which becomes suspect again after as many crashes as before", async () => {
     const { clock, guard, crash, request } = createGuard();
     crash(3);
     await request();
-    guard.noteWell("a");
+    guard.recordSuccess("a");
     guard.endTurn();
     await clock.advanceAsync(100);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(2);
-    assert.equal(guard.standing("a"), "free");
+    assert.equal(guard.getStatus("a"), "free");
     crash(4);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
 test("suspects run one after the other", async () => {
@@ -97,16 +97,16 @@
     crash(3, { digest: "b" });
     assert.equal(await request("a"), undefined);
     const waiting = guard.requestRetrial("b", () => true);
-    let isHeard = false;
-    void waiting.then(() => isHeard = true);
+    let isAnswered = false;
+    void waiting.then(() => isAnswered = true);
     await clock.advanceAsync(1_000);
-    assert.equal(isHeard, false);
+    assert.equal(isAnswered, false);
     guard.endTurn();
     await clock.advanceAsync(100);
     assert.equal(await waiting, undefined);
 });
 
-test("a suspect that has no turn in time is told to come back", async () => {
+test("a suspect that gets no turn in time is refused with a time to retry", async () => {
     const { clock, guard, crash, request } = createGuard();
     crash(3);
     await request("a");
@@ -117,59 +117,59 @@
     assert.equal(await request("a"), undefined);
 });
 
-test("a run that could not begin is not used up", async () => {
+test("a run that could not start is not used up", async () => {
     const { guard, crash, request } = createGuard();
     crash(3);
     for (let time = 0; time < 5; time++) {
-        assert.match((await request("a", () => false))?.reason ?? "", /none is left/);
+        assert.match((await request("a", () => false))?.reason ?? "", /no other target is available/);
     }
     assert.equal(await request(), undefined);
     guard.endTurn();
     assert.equal(await request(), undefined);
 });
 
-test("while the store is away a suspect does not run, and others do", async () => {
+test("while the store is unavailable, suspects do not run, but other requests do", async () => {
     const { clock, store, guard, crash } = createGuard();
     crash(3);
     store.setDown(true);
     const held = guard.requestRetrial("a", () => true);
     await clock.advanceAsync(3_000);
     assert.equal((await held)?.retryAfter, 1_000);
-    assert.equal(guard.standing("b"), "free");
+    assert.equal(guard.getStatus("b"), "free");
 });
 
-test("crashes that other gateways wrote down are known after a target is gone", async () => {
+test("crashes recorded by other gateways are read after a ready target was removed", async () => {
     const { clock, store, counts, guard } = createGuard();
     store.put("a", { crashes: 3, retrials: 0, writtenAt: clock.now() });
-    guard.noteTarget({ kind: "removed", target: run.target });
+    guard.handleTargetChange({ kind: "removed", target: run.target });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "free");
-    counts.hear({ other: 1 });
-    guard.noteTarget({ kind: "removed", target: { ...run.target, state: "draining" } });
+    assert.equal(guard.getStatus("a"), "free");
+    counts.recordPeerCounts({ other: 1 });
+    guard.handleTargetChange({ kind: "removed", target: { ...run.target, state: "draining" } });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "free");
-    guard.noteTarget({ kind: "removed", target: run.target });
+    assert.equal(guard.getStatus("a"), "free");
+    guard.handleTargetChange({ kind: "removed", target: run.target });
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "suspect");
+    assert.equal(guard.getStatus("a"), "suspect");
 });
 
-test("of a crash that cut many young runs off, only those are written down that were cut before", async () => {
+test("of a crash that interrupted many runs, only those of requests interrupted before are recorded", async () => {
     const { clock, records, guard } = createGuard();
-    const crowd = ["a", "b", "c", "d", "e", "f", "g"].map(digest => ({ ...run, digest }));
-    guard.noteCrash(crowd);
+    const interruptedRuns = ["a", "b", "c", "d", "e", "f", "g"].map(digest => ({ ...run, digest }));
+    guard.recordCrash(interruptedRuns);
     await clock.advanceAsync(50);
     assert.equal(records.get("a"), undefined);
-    guard.noteCrash(crowd.slice(0, 1));
-    guard.noteCrash(crowd);
+    guard.recordCrash(interruptedRuns.slice(0, 1));
+    guard.recordCrash(interruptedRuns);
     await clock.advanceAsync(50);
     assert.equal(records.get("a")?.crashes, 2);
     assert.equal(records.get("b")?.crashes, 1);
 });
 
-test("a request that used its runs up stays refused where its crashes were forgotten", async () => {
+test("a request that used up its runs stays refused after its crashes are forgotten", async () => {
     const { clock, store, records, guard } = createGuard();
     store.put("a", { crashes: 0, retrials: 2, writtenAt: clock.now() });
     records.start();
     await clock.advanceAsync(50);
-    assert.equal(guard.standing("a"), "condemned");
+    assert.equal(guard.getStatus("a"), "condemned");
 });
