--- a/packages/gateway/src/lib/testing/CrashingSite.ts
+++ b/packages/gateway/src/lib/testing/CrashingSite.ts
@@ -228,7 +228,7 @@
         gateway.answers.add(answer);
         answer.whenOver(() => {
             gateway.answers.delete(answer);
-            const isServed = answer.statusCode === 200 && answer.isWhole;
+            const isServed = answer.statusCode === 200 && answer.isComplete;
             const { resultNumber: result, hasRetryAfter } = answer;
             const all = isServed ? failures : [...failures, { result, hasRetryAfter }];
             if (isServed || left <= 1) {
--- a/packages/gateway/src/lib/testing/SimulatedAnswer.ts
+++ b/packages/gateway/src/lib/testing/SimulatedAnswer.ts
@@ -9,7 +9,7 @@
     /** Set once the answer has ended or was aborted. */
     isOver = false;
     /** Set once the answer has ended without being aborted. */
-    isWhole = false;
+    isComplete = false;
     /** Whether the answer has a `Retry-After` header. */
     hasRetryAfter = false;
 
@@ -38,7 +38,7 @@
     end(chunk?: Buffer, onLeft?: () => void): void {
         this.body += chunk?.toString() ?? "";
         onLeft?.();
-        this.isWhole = true;
+        this.isComplete = true;
         this.finish();
     }
 
--- a/packages/gateway/src/lib/testing/StreamSite.ts
+++ b/packages/gateway/src/lib/testing/StreamSite.ts
@@ -97,11 +97,11 @@
     }
 }
 
-const wholeBody = Array.from({ length: simulatedEvents }, (_, id) => `id: ${id}\ndata: x\n\n`).join("");
+const completeBody = Array.from({ length: simulatedEvents }, (_, id) => `id: ${id}\ndata: x\n\n`).join("");
 
 /** Whether every event arrived exactly once and in order. */
-function isServed({ statusCode, isWhole, body }: SimulatedAnswer): boolean {
-    return statusCode === 200 && isWhole && body === wholeBody;
+function isServed({ statusCode, isComplete, body }: SimulatedAnswer): boolean {
+    return statusCode === 200 && isComplete && body === completeBody;
 }
 
 function isRefusedAsNotRun({ statusCode, hasRetryAfter }: SimulatedAnswer): boolean {
