--- a/packages/claims/src/bench/measureOwner.ts
+++ b/packages/claims/src/bench/measureOwner.ts
@@ -9,7 +9,7 @@
 const batch = 200;
 /** Claims with which {@link acquireTime} measures. */
 const acquires = 2000;
-const settleTime = 200;
+const archivingTime = 200;
 const bytesPerKiB = 1024;
 const microsecondsPerMillisecond = 1000;
 
@@ -42,7 +42,7 @@
         clock,
         random: seededRandom(1),
         pace: () => 0,
-        patience: 60_000,
+        callTimeout: 60_000,
         maxClaims: 10_000_000,
         archiveAfter,
     });
@@ -55,7 +55,7 @@
 }
 
 /** Segments in an archive, so that a partition has at most about a hundred archives, as after 24 hours. */
-export function hundredArchives(claims: number): number {
+export function segmentsPerArchive(claims: number): number {
     return Math.max(10, Math.ceil(claims / batch / 100));
 }
 
@@ -85,7 +85,7 @@
     const stores = createStores(clock);
     await fill(createJournal(clock, stores, archiveAfter), claims);
     // The first owner may still be archiving.
-    await sleep(clock, settleTime);
+    await sleep(clock, archivingTime);
     const reads = countReads(stores);
     const before = usedMemory();
     const start = performance.now();
--- a/packages/claims/src/lib/TableClaims.ts
+++ b/packages/claims/src/lib/TableClaims.ts
@@ -16,8 +16,13 @@
 import { type Claim, type ClaimRequest, type Claims } from "./Claims.js";
 import { type CollectReports, type Reclaim, type ReportedClaim, type ReportRequest } from "./reclaim/ClaimReport.js";
 import { firstGeneration } from "./reclaim/generations.js";
-import { conditionOf, readSettlement, type Settlement, settlementWrites } from "./reclaim/Settlement.js";
-import { strongestOfEach } from "./reclaim/strongestOfEach.js";
+import {
+    readRecoveryMarker,
+    type RecoveryMarker,
+    recoveryMarkerCondition,
+    recoveryMarkerWrites,
+} from "./reclaim/Settlement.js";
+import { selectPrevailingClaims } from "./reclaim/strongestOfEach.js";
 
 const claimRowSchema = z.object({
     digest: z.string(),
@@ -53,16 +58,16 @@
 interface FoundRow {
     readonly row: Row;
     readonly claim: ClaimRow | undefined;
-    readonly settlement: Settlement | undefined;
+    readonly marker: RecoveryMarker | undefined;
     readonly era: number;
 }
 
 const tablePrefix = "claim-rows/";
-const settlementPrefix = "claim-settled";
+const markerPrefix = "claim-settled";
 const series = "table";
 const retryAfter = 1000;
 /** Claims that are remembered: as many as an agent remembers of those that it ran. */
-const mostKnown = 20_000;
+const maxKnownClaims = 20_000;
 
 /**
  * Claims with a row of its own for each request: the plainest way, for small sites and as the baseline of measurements.
@@ -75,9 +80,9 @@
  */
 export class TableClaims implements Claims {
     /** By row key, the newest claim that the store is known to have held. */
-    private readonly known = new LRUCache<string, KnownClaim>({ max: mostKnown });
+    private readonly known = new LRUCache<string, KnownClaim>({ max: maxKnownClaims });
     private readonly options: Required<TableClaimsOptions>;
-    private settlement: Settlement | undefined;
+    private marker: RecoveryMarker | undefined;
 
     constructor(
         private readonly store: TableStore,
@@ -98,7 +103,7 @@
             return this.restore(found.value, lost, request);
         }
         if (claim !== undefined) {
-            return asksFor(request, claim) ? granted(request, claim, false) : keyReused();
+            return matchesRequest(request, claim) ? granted(request, claim, false) : keyReused();
         }
         const digest = shortHash(request.digest);
         const created = { digest, generation: this.generation(0, found.value), runner: request.runner };
@@ -164,9 +169,9 @@
     private async read(request: ClaimRequest): Promise<Outcome<FoundRow>> {
         for (;;) {
             const { era } = this.store;
-            const settled = await this.settle(era);
-            if (settled.isErr) {
-                return Result.err(settled.error);
+            const recovered = await this.ensureRecovered(era);
+            if (recovered.isErr) {
+                return Result.err(recovered.error);
             }
             const row = await this.store.get(tablePrefix + keyHashOf(request));
             if (row.isErr) {
@@ -176,60 +181,60 @@
             if (this.store.era === era) {
                 const claim = claimOf(row.value);
                 this.remember(row.value.key, claim, request.retention);
-                return Result.ok({ row: row.value, claim, settlement: this.settlement, era });
+                return Result.ok({ row: row.value, claim, marker: this.marker, era });
             }
         }
     }
 
     /** Makes sure that the store lacks no claim of an earlier era. */
-    private async settle(era: number): Promise<Outcome<void>> {
-        if (era === (this.settlement?.era ?? 0)) {
+    private async ensureRecovered(era: number): Promise<Outcome<void>> {
+        if (era === (this.marker?.era ?? 0)) {
             return Result.ok<void, never>(undefined);
         }
-        const known = await readSettlement(this.store, settlementPrefix);
+        const known = await readRecoveryMarker(this.store, markerPrefix);
         if (known.isErr) {
             return Result.err(known.error);
         }
         if (this.store.era !== era) {
-            return this.settle(this.store.era);
+            return this.ensureRecovered(this.store.era);
         }
         if (known.value?.era === era) {
-            this.settlement = known.value;
+            this.marker = known.value;
             return Result.ok<void, never>(undefined);
         }
-        const reclaimed = await this.reclaimAll(era, known.value);
-        const refusal = reclaimed.isErr ? reclaimed.error.message : undefined;
-        this.options.onReclaim({ series, era, reported: reclaimed.unwrapOr(0), refusal });
-        return reclaimed.isErr ? Result.err(reclaimed.error) : this.settle(era);
+        const recovered = await this.recoverAll(era, known.value);
+        const refusal = recovered.isErr ? recovered.error.message : undefined;
+        this.options.onReclaim({ series, era, reported: recovered.unwrapOr(0), refusal });
+        return recovered.isErr ? Result.err(recovered.error) : this.ensureRecovered(era);
     }
 
     /** Writes again what processes know and the store lacks. @returns How many claims were reported. */
-    private async reclaimAll(era: number, settlement: Settlement | undefined): Promise<Outcome<number>> {
+    private async recoverAll(era: number, marker: RecoveryMarker | undefined): Promise<Outcome<number>> {
         const request = { series, before: firstGeneration(era) };
         const reports = await this.options.collectReports(request);
         if (reports.isErr) {
             return Result.err(reports.error);
         }
         const reported = [...reports.value, ...this.report(request)];
-        for (const claim of strongestOfEach(reported)) {
-            const restored = await this.reclaim(claim, era, settlement);
+        for (const claim of selectPrevailingClaims(reported)) {
+            const restored = await this.recover(claim, era, marker);
             if (restored.isErr) {
                 return Result.err(restored.error);
             }
         }
-        const settled = await this.commit(era, {
+        const committed = await this.commit(era, {
             writeId: uniqueId(),
-            conditions: [conditionOf(settlementPrefix, settlement)],
-            writes: settlementWrites(settlementPrefix, settlement, era),
+            conditions: [recoveryMarkerCondition(markerPrefix, marker)],
+            writes: recoveryMarkerWrites(markerPrefix, marker, era),
         });
-        return settled.map(() => reported.length);
+        return committed.map(() => reported.length);
     }
 
     /** Writes a claim again that a process knows, unless the store holds it or a later one. */
-    private async reclaim(
+    private async recover(
         claim: ReportedClaim,
         era: number,
-        settlement: Settlement | undefined,
+        marker: RecoveryMarker | undefined,
     ): Promise<Outcome<void>> {
         const row = await this.store.get(tablePrefix + claim.keyHash);
         if (row.isErr) {
@@ -245,7 +250,7 @@
             writeId: uniqueId(),
             conditions: [
                 { key: row.value.key, version: row.value.version },
-                conditionOf(settlementPrefix, settlement),
+                recoveryMarkerCondition(markerPrefix, marker),
             ],
             writes: [{ key: row.value.key, value: { digest, generation, runner } }],
         });
@@ -253,14 +258,14 @@
     }
 
     private async write(
-        { row, settlement, era }: FoundRow,
+        { row, marker, era }: FoundRow,
         claim: ClaimRow,
         retention: number,
     ): Promise<Outcome<unknown>> {
         const writeId = uniqueId();
         const outcome = await this.commit(era, {
             writeId,
-            conditions: [{ key: row.key, version: row.version }, conditionOf(settlementPrefix, settlement)],
+            conditions: [{ key: row.key, version: row.version }, recoveryMarkerCondition(markerPrefix, marker)],
             writes: [{ key: row.key, value: claim }],
         });
         if (outcome.isOk || outcome.error.code !== platformCodes.storeUnknown) {
@@ -293,7 +298,7 @@
     return version === 0 ? undefined : claimRowSchema.parse(value);
 }
 
-function asksFor({ digest }: ClaimRequest, row: ClaimRow): boolean {
+function matchesRequest({ digest }: ClaimRequest, row: ClaimRow): boolean {
     return row.digest === shortHash(digest) || row.digest === unknownDigest;
 }
 
--- a/packages/claims/src/lib/journal/ArchiveIndex.test.ts
+++ b/packages/claims/src/lib/journal/ArchiveIndex.test.ts
@@ -11,8 +11,8 @@
             const hashes = numbers.map(number => shortHash(String(number)));
             const index = ArchiveIndex.decode(ArchiveIndex.of(hashes).encode());
             assert.equal(index?.size, hashes.length);
-            assert.ok(hashes.every(hash => index?.mayHave(fingerprint(hash))));
-            const others = numbers.filter(number => index?.mayHave(fingerprint(shortHash(`other ${number}`))));
+            assert.ok(hashes.every(hash => index?.mayContain(fingerprint(hash))));
+            const others = numbers.filter(number => index?.mayContain(fingerprint(shortHash(`other ${number}`))));
             assert.deepEqual(others, []);
         }),
         { seed },
--- a/packages/claims/src/lib/journal/ArchiveIndex.ts
+++ b/packages/claims/src/lib/journal/ArchiveIndex.ts
@@ -40,7 +40,7 @@
     }
 
     /** Whether the key with a fingerprint may be in the archive. Never wrong when it says no. */
-    mayHave(wanted: number): boolean {
+    mayContain(wanted: number): boolean {
         let low = 0;
         let high = this.fingerprints.length - 1;
         while (low <= high) {
--- a/packages/claims/src/lib/journal/Batch.ts
+++ b/packages/claims/src/lib/journal/Batch.ts
@@ -36,7 +36,7 @@
 
     /** Adds a call, unless it needs no write, its key is in the batch already, or an archive must be read first. */
     add(call: PendingCall, end: (outcome: Outcome<Claim>) => void): void {
-        const waits = this.members.has(call.keyHash) || this.state.hidingPlace(call.keyHash) !== undefined;
+        const waits = this.members.has(call.keyHash) || this.state.findArchive(call.keyHash) !== undefined;
         if (waits || call.answer(this.state) !== undefined) {
             return;
         }
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -44,7 +44,7 @@
     /** Runs after each look for lost claims. */
     readonly onReclaim?: (reclaim: Reclaim) => void;
     /** Milliseconds after which a call ends as `claimUnavailable`. */
-    readonly patience?: number;
+    readonly callTimeout?: number;
     /** Calls that may wait at the same time. */
     readonly maxPending?: number;
     /** Claims in one segment at most. */
@@ -62,7 +62,7 @@
 const defaults = {
     collectReports: () => Promise.resolve(Result.ok<readonly ReportedClaim[], Failure>([])),
     onReclaim: () => undefined,
-    patience: 1_000,
+    callTimeout: 1_000,
     maxPending: 10_000,
     maxBatch: 500,
     maxClaims: 8_000_000,
@@ -91,17 +91,17 @@
     private readonly pending: PendingCalls;
     /** Batches whose outcome is not known yet; at most one of them can become the next segment. */
     private undecided: Batch[] = [];
-    private fresh = false;
+    private isUpToDate = false;
     private draining = false;
     private failures = 0;
     private refusedUntil = -Infinity;
 
     constructor(options: ClaimJournalOptions) {
         this.options = { ...defaults, ...options };
-        const { clock, patience, archiveAfter, objects, table, partition, pace } = this.options;
+        const { clock, callTimeout, archiveAfter, objects, table, partition, pace } = this.options;
         this.log = new PartitionLog(this.options);
         this.archiver = new Archiver({ log: this.log, objects, table, partition, clock, pace, archiveAfter });
-        this.pending = new PendingCalls(clock, patience);
+        this.pending = new PendingCalls(clock, callTimeout);
     }
 
     /** The name under which the partition counts generations. */
@@ -121,8 +121,8 @@
 
     acquire(request: ClaimRequest): Promise<Outcome<Claim>> {
         const call = PendingCall.acquire(request);
-        const answer = this.log.isSettled ? call.answer(this.log.state) : undefined;
-        const known = answer ?? this.refusal(request);
+        const answer = this.log.isRecovered ? call.answer(this.log.state) : undefined;
+        const known = answer ?? this.checkLimits(request);
         return known === undefined ? this.enqueue(call) : Promise.resolve(known);
     }
 
@@ -132,10 +132,10 @@
             return Promise.resolve(Result.err(failure(requestCodes.malformed, "the claim is of another request")));
         }
         if (hasLongName(request.runner)) {
-            return Promise.resolve(longName());
+            return Promise.resolve(nameTooLong());
         }
         // Moves are rare, and this owner may have missed an earlier one.
-        this.fresh = false;
+        this.isUpToDate = false;
         return this.enqueue(call);
     }
 
@@ -158,28 +158,28 @@
 
     /** Whether nothing hints that the store holds more than what was read, or less than it acknowledged. */
     private get isCurrent(): boolean {
-        return this.fresh && this.log.isSettled;
+        return this.isUpToDate && this.log.isRecovered;
     }
 
-    private refusal({ runner }: ClaimRequest): Outcome<Claim> | undefined {
+    private checkLimits({ runner }: ClaimRequest): Outcome<Claim> | undefined {
         if (hasLongName(runner)) {
-            return longName();
+            return nameTooLong();
         }
         if (this.size < this.options.maxClaims) {
             return undefined;
         }
         this.log.state.forgetExpired();
-        return unavailable("the partition holds as many claims as it may", this.options.patience);
+        return unavailable("the partition holds as many claims as it may", this.options.callTimeout);
     }
 
     private enqueue(call: PendingCall): Promise<Outcome<Claim>> {
-        const { clock, maxPending, patience } = this.options;
+        const { clock, maxPending, callTimeout } = this.options;
         const pause = this.refusedUntil - clock.now();
         if (pause > 0) {
             return Promise.resolve(unavailable("the store refuses writes", pause));
         }
         if (this.pending.size >= maxPending) {
-            return Promise.resolve(unavailable("too many claims wait for a write", patience));
+            return Promise.resolve(unavailable("too many claims wait for a write", callTimeout));
         }
         const outcome = this.pending.add(call);
         void this.drain();
@@ -218,11 +218,15 @@
     /** Reads the archives that may hold the claims of waiting calls; a call whose archive cannot be read ends. */
     private async readArchives(): Promise<void> {
         const { log, pending } = this;
-        for (let hidden = pending.hidden(log.state); hidden.size > 0; hidden = pending.hidden(log.state)) {
-            for (const { archive, calls } of hidden.values()) {
-                const outcome = await log.reveal(archive, calls.map(({ keyHash }) => keyHash));
+        for (
+            let groups = pending.groupByArchive(log.state);
+            groups.size > 0;
+            groups = pending.groupByArchive(log.state)
+        ) {
+            for (const { archive, calls } of groups.values()) {
+                const outcome = await log.loadArchived(archive, calls.map(({ keyHash }) => keyHash));
                 if (outcome.isErr) {
-                    this.fresh = false;
+                    this.isUpToDate = false;
                     const refusal = unavailable(outcome.error.message, this.options.refusalPause);
                     calls.forEach(call => pending.end(call, refusal));
                 }
@@ -257,22 +261,22 @@
         if (outcome.isErr) {
             return Result.err(outcome.error);
         }
-        this.fresh = true;
+        this.isUpToDate = true;
         if (outcome.value.length > 0) {
             this.decide(outcome.value);
         }
-        if (!this.log.isSettled) {
-            return this.reclaim();
+        if (!this.log.isRecovered) {
+            return this.recover();
         }
-        const written = await this.appendDisplaced();
+        const written = await this.appendLost();
         if (written.isOk) {
-            this.log.clearDisplaced();
+            this.log.clearLost();
         }
         return written;
     }
 
     /** Looks for the claims that a copy of the store lacks, and writes them again before anything else is granted or told. */
-    private async reclaim(): Promise<Outcome<void>> {
+    private async recover(): Promise<Outcome<void>> {
         const { collectReports, onReclaim } = this.options;
         const { log: { era, state: { series } } } = this;
         const reports = await collectReports({ series, before: firstGeneration(era) });
@@ -281,28 +285,28 @@
             return Result.err(reports.error);
         }
         this.log.addReports(reports.value);
-        const written = await this.appendDisplaced();
-        const settled = written.isErr ? written : await this.log.append(uniqueId(), [], { settles: true });
-        if (settled.isOk) {
-            this.log.clearDisplaced();
+        const written = await this.appendLost();
+        const recovered = written.isErr ? written : await this.log.append(uniqueId(), [], { marksRecovered: true });
+        if (recovered.isOk) {
+            this.log.clearLost();
         }
-        const refusal = settled.isErr ? settled.error.message : undefined;
+        const refusal = recovered.isErr ? recovered.error.message : undefined;
         onReclaim({ series, era, reported: reports.value.length, refusal });
-        return settled;
+        return recovered;
     }
 
-    private async appendDisplaced(): Promise<Outcome<void>> {
+    private async appendLost(): Promise<Outcome<void>> {
         const { maxBatch } = this.options;
-        const revealed = await this.log.revealDisplaced();
-        if (revealed.isErr) {
-            return revealed;
+        const loaded = await this.log.loadLostFromArchives();
+        if (loaded.isErr) {
+            return loaded;
         }
-        for (let records = this.log.nextDisplaced(maxBatch); records.length > 0;) {
+        for (let records = this.log.nextLost(maxBatch); records.length > 0;) {
             const outcome = await this.log.append(uniqueId(), records);
             if (outcome.isErr) {
                 return outcome;
             }
-            records = this.log.nextDisplaced(maxBatch);
+            records = this.log.nextLost(maxBatch);
         }
         return Result.ok<void, never>(undefined);
     }
@@ -320,7 +324,7 @@
             return;
         }
         // A call that the local budget held back has changed nothing.
-        this.fresh &&= outcome.error.code === platformCodes.budgetExhausted;
+        this.isUpToDate &&= outcome.error.code === platformCodes.budgetExhausted;
         if (wasRefused(outcome.error)) {
             this.refuseAll(outcome.error);
             return;
@@ -338,7 +342,7 @@
 
     private refuseAll({ message, retryAfter }: Failure): void {
         const pause = retryAfter ?? this.options.refusalPause;
-        this.refusedUntil = this.options.clock.now() + Math.min(pause, this.options.patience);
+        this.refusedUntil = this.options.clock.now() + Math.min(pause, this.options.callTimeout);
         this.pending.endAll(unavailable(message, pause));
     }
 
@@ -353,7 +357,7 @@
     return Math.max(target.length, incarnation.length) > maxNameLength;
 }
 
-function longName(): Outcome<Claim> {
+function nameTooLong(): Outcome<Claim> {
     return Result.err(failure(requestCodes.malformed, "the runner's name is too long"));
 }
 
--- a/packages/claims/src/lib/journal/ClaimJournals.ts
+++ b/packages/claims/src/lib/journal/ClaimJournals.ts
@@ -29,7 +29,7 @@
 };
 
 /** Milliseconds for which claims of a partition that is served elsewhere can still be told; longer than any copy of the store is old. */
-const retiredFor = 600_000;
+const retiredRetention = 600_000;
 
 /** What is left of a journal that was dropped. */
 interface RetiredJournal {
@@ -106,7 +106,7 @@
     }
 
     private retire(journal: ClaimJournal): void {
-        const expiry = this.options.clock.now() + retiredFor;
+        const expiry = this.options.clock.now() + retiredRetention;
         this.retired = [...this.retired, { series: journal.series, claims: journal.report(), expiry }];
     }
 
--- a/packages/claims/src/lib/journal/DisplacedClaims.test.ts
+++ b/packages/claims/src/lib/journal/DisplacedClaims.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { unknownDigest } from "../claimId.js";
 import { type ClaimRecord } from "./ClaimRecord.js";
-import { DisplacedClaims } from "./DisplacedClaims.js";
+import { LostClaims } from "./DisplacedClaims.js";
 
 function record(keyHash: string, generation: number, target = "a"): ClaimRecord {
     return { keyHash, digest: "d", generation, runner: { target, incarnation: "1" }, expiry: 1_000 };
@@ -13,41 +13,41 @@
     return {
         time: { now: () => now },
         find: (keyHash: string) => held.find(claim => claim.keyHash === keyHash),
-        hidingPlace: () => archiveEnd === undefined ? undefined : { name: "archive", last: archiveEnd, expiry: 1_000 },
+        findArchive: () => archiveEnd === undefined ? undefined : { name: "archive", last: archiveEnd, expiry: 1_000 },
     };
 }
 
-function displaced(...records: readonly ClaimRecord[]): DisplacedClaims {
-    const claims = new DisplacedClaims();
+function lostClaims(...records: readonly ClaimRecord[]): LostClaims {
+    const claims = new LostClaims();
     claims.add(records);
     return claims;
 }
 
 test("a claim that is lost is written again until it is there", () => {
-    const claims = displaced(record("k", 5), record("l", 6));
+    const claims = lostClaims(record("k", 5), record("l", 6));
     assert.deepEqual(claims.next(stateOf([]), 1), [record("k", 5)]);
     assert.deepEqual(claims.next(stateOf([record("k", 5)]), 1), [record("l", 6)]);
     assert.deepEqual(claims.next(stateOf([record("k", 5), record("l", 6)]), 1), []);
 });
 
 test("of a claim that was moved the last runner counts", () => {
-    const claims = displaced(record("k", 5), record("k", 7, "b"));
+    const claims = lostClaims(record("k", 5), record("k", 7, "b"));
     assert.deepEqual(claims.next(stateOf([record("k", 5)]), 10), [record("k", 7, "b")]);
     assert.deepEqual(claims.next(stateOf([record("k", 3)]), 10), [record("k", 7, "b")]);
 });
 
 test("a claim that another owner has granted since stands", () => {
-    const claims = displaced(record("j", 4), record("k", 7));
+    const claims = lostClaims(record("j", 4), record("k", 7));
     assert.deepEqual(claims.next(stateOf([record("j", 4), record("k", 6, "b")]), 10), []);
 });
 
 test("a claim that was written in the place of a granted one gives way to it", () => {
     const state = { ...stateOf([record("k", 5, "b")]), firstGeneration: 100 };
-    assert.deepEqual(displaced(record("k", 5)).next(state, 10), [record("k", 5)]);
+    assert.deepEqual(lostClaims(record("k", 5)).next(state, 10), [record("k", 5)]);
 });
 
 test("a claim that its runner has begun stands whatever is found", () => {
-    const claims = new DisplacedClaims();
+    const claims = new LostClaims();
     claims.addReports([{ ...record("k", 5), state: "ran" }, { ...record("k", 9, "c"), state: "granted" }]);
     const state = { ...stateOf([record("k", 7, "b")]), firstGeneration: 100 };
     assert.deepEqual(claims.next(state, 10), [record("k", 5)]);
@@ -56,17 +56,17 @@
 
 test("a claim that only its runner remembers is kept for a day, whatever was asked", () => {
     const { keyHash, generation, runner } = record("k", 5);
-    const claims = new DisplacedClaims();
+    const claims = new LostClaims();
     claims.addReports([{ keyHash, generation, runner, state: "ran" }]);
     const [written] = claims.next(stateOf([]), 10);
     assert.deepEqual(written, { keyHash, generation, runner, digest: unknownDigest, expiry: 86_400_000 });
 });
 
 test("a claim that has expired is not written again", () => {
-    assert.deepEqual(displaced(record("k", 5)).next(stateOf([], undefined, 1_001), 10), []);
+    assert.deepEqual(lostClaims(record("k", 5)).next(stateOf([], undefined, 1_001), 10), []);
 });
 
 test("an archive that ends before a claim does not hold it", () => {
-    assert.deepEqual(displaced(record("k", 5)).next(stateOf([], 4), 10), [record("k", 5)]);
-    assert.deepEqual(displaced(record("k", 5)).next(stateOf([], 5), 10), []);
+    assert.deepEqual(lostClaims(record("k", 5)).next(stateOf([], 4), 10), [record("k", 5)]);
+    assert.deepEqual(lostClaims(record("k", 5)).next(stateOf([], 5), 10), []);
 });
--- a/packages/claims/src/lib/journal/DisplacedClaims.ts
+++ b/packages/claims/src/lib/journal/DisplacedClaims.ts
@@ -1,18 +1,18 @@
 import { unknownDigest } from "../claimId.js";
 import { type ReportedClaim } from "../reclaim/ClaimReport.js";
-import { strongestOfEach } from "../reclaim/strongestOfEach.js";
+import { selectPrevailingClaims } from "../reclaim/strongestOfEach.js";
 import { type ClaimRecord, runnerName } from "./ClaimRecord.js";
 import { type PartitionState } from "./PartitionState.js";
 
 /** A partition as far as it matters here. @internal */
-export interface ReadPartition extends Pick<PartitionState, "find" | "hidingPlace"> {
+export interface PartitionView extends Pick<PartitionState, "find" | "findArchive"> {
     /** The lowest generation of a claim that was granted since the store came back, where the store tells its era. */
     readonly firstGeneration?: number;
     readonly time: { now(): number; };
 }
 
 /** Milliseconds for which a claim is kept whose retention is not known: as long as callers may repeat a request by default. */
-const unknownRetention = 86_400_000;
+const defaultRetention = 86_400_000;
 
 /**
  * Claims that the store has acknowledged and may have lost with a copy, while the partition is read anew. Those that have no other
@@ -20,7 +20,7 @@
  *
  * @internal
  */
-export class DisplacedClaims {
+export class LostClaims {
     private claims: readonly ReportedClaim[] = [];
 
     /** The claims that are still to be looked for. */
@@ -43,9 +43,9 @@
      *
      * @param state - The partition as it was read anew.
      */
-    next(state: ReadPartition, most: number): readonly ClaimRecord[] {
-        const lost = strongestOfEach(this.claims).filter(claim => this.isLost(claim, state));
-        return lost.slice(0, most).map(claim => recordOf(claim, state.time.now()));
+    next(state: PartitionView, limit: number): readonly ClaimRecord[] {
+        const lost = selectPrevailingClaims(this.claims).filter(claim => this.isLost(claim, state));
+        return lost.slice(0, limit).map(claim => recordOf(claim, state.time.now()));
     }
 
     /** Forgets them, once the store holds what is left of them. */
@@ -53,7 +53,7 @@
         this.claims = [];
     }
 
-    private isLost(claim: ReportedClaim, state: ReadPartition): boolean {
+    private isLost(claim: ReportedClaim, state: PartitionView): boolean {
         // The state holds no expired claim, so one that was written would look lost for ever.
         if (claim.expiry !== undefined && claim.expiry < state.time.now()) {
             return false;
@@ -61,9 +61,9 @@
         const found = state.find(claim.keyHash);
         if (found === undefined) {
             // Archives are read for these keys before; one that is left holds an earlier claim of the key at most.
-            return (state.hidingPlace(claim.keyHash)?.last ?? 0) < claim.generation;
+            return (state.findArchive(claim.keyHash)?.last ?? 0) < claim.generation;
         }
-        if (nameOf(found) === nameOf(claim) || !this.isOfCommonPast(found, state)) {
+        if (nameOf(found) === nameOf(claim) || !this.predatesCopy(found, state)) {
             return false;
         }
         // Of two claims with one generation the one that is found was written in the place of the other, and never granted.
@@ -71,7 +71,7 @@
     }
 
     /** Whether a claim was there before the copy was made; any other was granted since, and stands. */
-    private isOfCommonPast(found: ClaimRecord, { firstGeneration = 0 }: ReadPartition): boolean {
+    private predatesCopy(found: ClaimRecord, { firstGeneration = 0 }: PartitionView): boolean {
         if (found.generation < firstGeneration) {
             return true;
         }
@@ -86,7 +86,7 @@
         generation,
         runner,
         digest: digest ?? unknownDigest,
-        expiry: expiry ?? now + unknownRetention,
+        expiry: expiry ?? now + defaultRetention,
     };
 }
 
--- a/packages/claims/src/lib/journal/PartitionLog.ts
+++ b/packages/claims/src/lib/journal/PartitionLog.ts
@@ -3,22 +3,22 @@
 import { Result } from "true-myth";
 import { type ReportedClaim } from "../reclaim/ClaimReport.js";
 import { firstGeneration } from "../reclaim/generations.js";
-import { SettledEra } from "../reclaim/SettledEra.js";
+import { RecoveredEra } from "../reclaim/SettledEra.js";
 import { ArchiveIndex } from "./ArchiveIndex.js";
 import { loadIndexes, loadRecords } from "./archives.js";
 import { type ClaimRecord, packRecords, unpackRecords } from "./ClaimRecord.js";
-import { DisplacedClaims } from "./DisplacedClaims.js";
+import { LostClaims } from "./DisplacedClaims.js";
 import {
     type Archive,
     type Base,
     baseKey,
     baseSchema,
     partitionPrefix,
+    recoveryMarkerPrefix,
     type Segment,
     segmentKey,
     segmentNumber,
     segmentSchema,
-    settlementPrefix,
 } from "./partitionRows.js";
 import { PartitionState } from "./PartitionState.js";
 import { readValue } from "./readValue.js";
@@ -53,7 +53,7 @@
 /** How a segment is appended. */
 interface AppendOptions {
     /** Whether all claims that the store lost are written again with this segment. */
-    readonly settles?: boolean;
+    readonly marksRecovered?: boolean;
 }
 
 /**
@@ -67,12 +67,12 @@
     private readonly options: PartitionLogOptions;
     private known = emptyBase;
     private readonly recent = new RecentSegments();
-    private readonly displaced = new DisplacedClaims();
-    private readonly settled: SettledEra;
+    private readonly lostClaims = new LostClaims();
+    private readonly recoveredEra: RecoveredEra;
 
     constructor(options: PartitionLogOptions) {
         this.options = options;
-        this.settled = new SettledEra(options.table, settlementPrefix(options.partition));
+        this.recoveredEra = new RecoveredEra(options.table, recoveryMarkerPrefix(options.partition));
         this.state = new PartitionState(options.clock, `p${options.partition}`);
         this.state.firstGeneration = firstGeneration(this.era);
     }
@@ -89,21 +89,21 @@
 
     /** The era of the store in which the partition was read. */
     get era(): number {
-        return this.settled.era;
+        return this.recoveredEra.era;
     }
 
     /**
      * False while claims may be missing that the store had acknowledged, or claims be there that were never granted: nothing may be
      * granted or told then.
      */
-    get isSettled(): boolean {
-        return this.settled.isCurrent && this.settled.wasSettled;
+    get isRecovered(): boolean {
+        return this.recoveredEra.isCurrent && this.recoveredEra.wasRecovered;
     }
 
     /** The claims that this owner knows to be granted and that a copy of the store may lack. */
     get reports(): readonly ReportedClaim[] {
         const granted = this.granted().map((record): ReportedClaim => ({ ...record, state: "granted" }));
-        return [...this.displaced.reports, ...granted];
+        return [...this.lostClaims.reports, ...granted];
     }
 
     /**
@@ -114,32 +114,32 @@
      */
     async refresh(): Promise<Outcome<string[]>> {
         for (;;) {
-            this.followEra();
+            this.advanceEra();
             // Read first, so that all segments that it speaks of are among those read after it.
-            const settlement = await this.settled.read();
-            if (settlement.isErr) {
-                return Result.err(settlement.error);
+            const marker = await this.recoveredEra.read();
+            if (marker.isErr) {
+                return Result.err(marker.error);
             }
-            const read = await this.readOn();
+            const read = await this.readSegments();
             if (read.isErr) {
                 return read;
             }
             // Answers of two eras do not fit together.
-            if (this.settled.isCurrent) {
-                this.settled.use(settlement.value);
+            if (this.recoveredEra.isCurrent) {
+                this.recoveredEra.use(marker.value);
                 return read;
             }
         }
     }
 
     /** What was read in an earlier era is read anew; what was granted in it is kept, to be written again if it is lost. */
-    private followEra(): void {
-        if (!this.settled.isCurrent) {
-            this.displaced.add(this.granted());
+    private advanceEra(): void {
+        if (!this.recoveredEra.isCurrent) {
+            this.lostClaims.add(this.granted());
             this.recent.clear();
             this.state.clear();
             this.known = emptyBase;
-            this.settled.follow();
+            this.recoveredEra.advance();
             this.state.firstGeneration = firstGeneration(this.era);
         }
     }
@@ -149,14 +149,14 @@
      * never granted.
      */
     private granted(): readonly ClaimRecord[] {
-        if (!this.settled.wasSettled) {
+        if (!this.recoveredEra.wasRecovered) {
             return [];
         }
         const records = this.recent.from(1).flatMap(({ segment }) => unpackRecords(segment.block));
         return [...new Map(records.map(record => [record.keyHash, record])).values()];
     }
 
-    private async readOn(): Promise<Outcome<string[]>> {
+    private async readSegments(): Promise<Outcome<string[]>> {
         const writeIds: string[] = [];
         let more = this.state.lastSegment > 0 ? Result.ok<boolean, Failure>(true) : await this.readBase();
         while (more.isOk) {
@@ -183,7 +183,7 @@
     async append(
         writeId: string,
         records: readonly ClaimRecord[],
-        { settles = false }: AppendOptions = {},
+        { marksRecovered = false }: AppendOptions = {},
     ): Promise<Outcome<void>> {
         const { partition } = this.options;
         const number = this.nextSegment;
@@ -195,11 +195,13 @@
             conditions: [
                 { key, version: 0 },
                 { key: baseKey(partition), version: this.known.version },
-                ...this.conditionsOn(this.recent.from(this.known.base.first).at(-1)),
+                ...this.previousSegmentConditions(this.recent.from(this.known.base.first).at(-1)),
             ],
             writes: [{ key, value: segment }],
         };
-        const outcome = settles ? await this.settled.settle(transaction) : await this.settled.commit(transaction);
+        const outcome = marksRecovered
+            ? await this.recoveredEra.commitRecovery(transaction)
+            : await this.recoveredEra.commit(transaction);
         if (outcome.isOk) {
             this.state.applySegment(number, time, records);
             this.recent.put({ number, version: outcome.value[key] ?? 0, segment });
@@ -211,7 +213,9 @@
      * A store that came back from a copy lacks the newest segments. A segment written behind the gap would be hidden from other
      * owners, which then claim lost keys for other runners; so each is written on condition that the one before it is there.
      */
-    private conditionsOn(before: KnownSegment | undefined): { readonly key: string; readonly version: number; }[] {
+    private previousSegmentConditions(
+        before: KnownSegment | undefined,
+    ): { readonly key: string; readonly version: number; }[] {
         return before === undefined
             ? []
             : [{ key: segmentKey(this.options.partition, before.number), version: before.version }];
@@ -219,42 +223,42 @@
 
     /** Adds claims that processes know of an earlier era of the store. */
     addReports(reports: readonly ReportedClaim[]): void {
-        this.displaced.addReports(reports);
+        this.lostClaims.addReports(reports);
     }
 
     /** Claims that a copy of the store lacks, and that are to be appended: so many at most. */
-    nextDisplaced(most: number): readonly ClaimRecord[] {
-        return this.displaced.next(this.state, most);
+    nextLost(limit: number): readonly ClaimRecord[] {
+        return this.lostClaims.next(this.state, limit);
     }
 
     /** Forgets what processes knew of earlier eras, once the store holds it. */
-    clearDisplaced(): void {
-        this.displaced.clear();
+    clearLost(): void {
+        this.lostClaims.clear();
     }
 
     /** Reads what archives hold of the keys that displaced claims may be written again for. */
-    async revealDisplaced(): Promise<Outcome<void>> {
-        const keyHashes = this.displaced.reports.map(({ keyHash }) => keyHash);
+    async loadLostFromArchives(): Promise<Outcome<void>> {
+        const keyHashes = this.lostClaims.reports.map(({ keyHash }) => keyHash);
         for (const keyHash of keyHashes) {
-            for (let place = this.state.hidingPlace(keyHash); place !== undefined;) {
-                const outcome = await this.reveal(place, keyHashes);
+            for (let archive = this.state.findArchive(keyHash); archive !== undefined;) {
+                const outcome = await this.loadArchived(archive, keyHashes);
                 if (outcome.isErr) {
                     return outcome;
                 }
-                place = this.state.hidingPlace(keyHash);
+                archive = this.state.findArchive(keyHash);
             }
         }
         return Result.ok<void, never>(undefined);
     }
 
     /** Reads from an archive what it holds of some keys. */
-    async reveal(archive: Archive, keyHashes: readonly string[]): Promise<Outcome<void>> {
+    async loadArchived(archive: Archive, keyHashes: readonly string[]): Promise<Outcome<void>> {
         const records = await loadRecords(this.options.objects, archive.name);
         if (records.isErr) {
             return Result.err(records.error);
         }
         const byKey = new Map(records.value.map(record => [record.keyHash, record]));
-        keyHashes.forEach(keyHash => this.state.reveal(archive, keyHash, byKey.get(keyHash)));
+        keyHashes.forEach(keyHash => this.state.applyArchived(archive, keyHash, byKey.get(keyHash)));
         return Result.ok<void, never>(undefined);
     }
 
@@ -272,7 +276,7 @@
     ): Promise<Outcome<void>> {
         const { partition } = this.options;
         const key = baseKey(partition);
-        const outcome = await this.settled.commit({
+        const outcome = await this.recoveredEra.commit({
             writeId: uniqueId(),
             conditions: [{ key, version: from.version }],
             writes: [{ key, value: base }],
@@ -289,7 +293,7 @@
      * new segments under the same numbers; none of those is deleted.
      */
     async deleteRows(keys: readonly string[]): Promise<Outcome<void>> {
-        const outcome = await this.settled.commit({
+        const outcome = await this.recoveredEra.commit({
             writeId: uniqueId(),
             conditions: [{ key: baseKey(this.options.partition), version: this.known.version }],
             writes: keys.map(key => ({ key })),
@@ -350,7 +354,7 @@
         if (page.isErr) {
             return Result.err(page.error);
         }
-        if (!this.settled.isCurrent) {
+        if (!this.recoveredEra.isCurrent) {
             return Result.ok("end");
         }
         const applied = this.applyRows(page.value);
--- a/packages/claims/src/lib/journal/PartitionState.test.ts
+++ b/packages/claims/src/lib/journal/PartitionState.test.ts
@@ -23,13 +23,13 @@
         ["new", ArchiveIndex.of([hash(1, 2)])],
     ]);
     state.adopt({ first: 21, time: 0, archives, discarded: [] }, indexes);
-    const newest = state.hidingPlace(wanted);
+    const newest = state.findArchive(wanted);
     assert.equal(newest?.name, "new");
-    state.reveal(newest, wanted, undefined);
-    const older = state.hidingPlace(wanted);
+    state.applyArchived(newest, wanted, undefined);
+    const older = state.findArchive(wanted);
     assert.equal(older?.name, "old");
-    state.reveal(older, wanted, record(wanted, 7));
-    assert.equal(state.hidingPlace(wanted), undefined);
+    state.applyArchived(older, wanted, record(wanted, 7));
+    assert.equal(state.findArchive(wanted), undefined);
     assert.equal(state.find(wanted)?.generation, 7);
 });
 
@@ -41,7 +41,7 @@
     state.adopt({ first: 11, time: 0, archives: [old], discarded: [] }, new Map([["old", index]]));
     const newer = { name: "new", last: 20, expiry: 1000 };
     state.adopt({ first: 21, time: 0, archives: [old, newer], discarded: [] }, new Map([["new", index]]));
-    state.reveal(old, wanted, record(wanted, 7));
+    state.applyArchived(old, wanted, record(wanted, 7));
     assert.equal(state.find(wanted), undefined);
-    assert.equal(state.hidingPlace(wanted)?.name, "new");
+    assert.equal(state.findArchive(wanted)?.name, "new");
 });
--- a/packages/claims/src/lib/journal/PartitionState.ts
+++ b/packages/claims/src/lib/journal/PartitionState.ts
@@ -39,9 +39,9 @@
     /** The newest first. */
     private archives: IndexedArchive[] = [];
     /** Archives and keys whose fingerprint is in the archive without the key being there. */
-    private readonly mistaken = new Set<string>();
+    private readonly falsePositives = new Set<string>();
     /** Every claim of this segment or a later one is held whole. */
-    private heldFrom = 1;
+    private loadedFrom = 1;
     private last = 0;
     private nextSweep = 0;
     /** The lowest generation of a claim that is granted now. */
@@ -59,7 +59,7 @@
 
     /** Claims that are known. */
     get size(): number {
-        const archived = this.archives.filter(({ archive }) => archive.last < this.heldFrom);
+        const archived = this.archives.filter(({ archive }) => archive.last < this.loadedFrom);
         return archived.reduce((sum, { index }) => sum + index.size, this.claims.size);
     }
 
@@ -68,32 +68,33 @@
         return this.archives.some(({ archive }) => archive.name === name);
     }
 
-    /** The claim of a key, unless it has expired or {@link PartitionState.hidingPlace} names an archive. */
+    /** The claim of a key, unless it has expired or {@link PartitionState.findArchive} names an archive. */
     find(keyHash: string): ClaimRecord | undefined {
         const kept = this.claims.get(keyHash);
         return kept === undefined || kept.expiry < this.time.now() ? undefined : recordOf(keyHash, kept);
     }
 
     /** The newest archive that may hold the claim of a key which is not held whole. */
-    hidingPlace(keyHash: string): Archive | undefined {
+    findArchive(keyHash: string): Archive | undefined {
         if (this.claims.has(keyHash)) {
             return undefined;
         }
         const now = this.time.now();
         const wanted = fingerprint(keyHash);
         const place = this.archives.find(({ archive, index }) => {
-            return archive.expiry >= now && index.mayHave(wanted) && !this.mistaken.has(mistake(archive, keyHash));
+            return archive.expiry >= now && index.mayContain(wanted)
+                && !this.falsePositives.has(falsePositiveKey(archive, keyHash));
         });
         return place?.archive;
     }
 
     /** Takes in what an archive holds of a key. */
-    reveal(archive: Archive, keyHash: string, record: ClaimRecord | undefined): void {
-        if (this.hidingPlace(keyHash)?.name !== archive.name) {
+    applyArchived(archive: Archive, keyHash: string, record: ClaimRecord | undefined): void {
+        if (this.findArchive(keyHash)?.name !== archive.name) {
             return;
         }
         if (record === undefined) {
-            this.mistaken.add(mistake(archive, keyHash));
+            this.falsePositives.add(falsePositiveKey(archive, keyHash));
         }
         else {
             this.keep(record, archive.last);
@@ -133,9 +134,9 @@
             assert(index !== undefined, "the index of an archive is missing");
             return { archive, index };
         }).reverse();
-        this.mistaken.clear();
+        this.falsePositives.clear();
         if (base.first > this.last + 1) {
-            this.skipTo(base.first);
+            this.restartAt(base.first);
         }
         // The claims of the newest archive stay, since most duplicates come soon.
         this.dropBefore((this.archives[1]?.archive.last ?? 0) + 1);
@@ -155,23 +156,23 @@
 
     /** Forgets everything, so that the partition is read anew. Partition time does not go back. */
     clear(): void {
-        this.skipTo(1);
+        this.restartAt(1);
         this.archives = [];
-        this.mistaken.clear();
+        this.falsePositives.clear();
         this.runners.clear();
     }
 
     /** Archives hold segments that were never read here; any claim held may be outdated by one of them. */
-    private skipTo(first: number): void {
+    private restartAt(first: number): void {
         this.claims.clear();
         this.recentKeys = [];
         this.last = first - 1;
-        this.heldFrom = first;
+        this.loadedFrom = first;
     }
 
     private dropBefore(segment: number): void {
-        if (segment > this.heldFrom) {
-            this.heldFrom = segment;
+        if (segment > this.loadedFrom) {
+            this.loadedFrom = segment;
             this.runners.clear();
             this.dropWhere(claim => claim.segment < segment);
         }
@@ -187,10 +188,10 @@
 
     /** Of several claims of a key the one in the last segment counts. */
     private keep({ keyHash, digest, generation, runner, expiry }: ClaimRecord, segment: number): void {
-        this.claims.set(keyHash, { digest, generation, runner: this.shared(runner), expiry, segment });
+        this.claims.set(keyHash, { digest, generation, runner: this.internRunner(runner), expiry, segment });
     }
 
-    private shared(runner: Runner): Runner {
+    private internRunner(runner: Runner): Runner {
         const name = runnerName(runner);
         const known = this.runners.get(name);
         if (known === undefined) {
@@ -204,6 +205,6 @@
     return { keyHash, digest, generation, runner, expiry };
 }
 
-function mistake(archive: Archive, keyHash: string): string {
+function falsePositiveKey(archive: Archive, keyHash: string): string {
     return `${archive.name} ${keyHash}`;
 }
--- a/packages/claims/src/lib/journal/PendingCall.ts
+++ b/packages/claims/src/lib/journal/PendingCall.ts
@@ -37,7 +37,7 @@
 
     /** The answer that follows from what is recorded, or undefined while a record must be written first. */
     answer(state: PartitionState): Outcome<Claim> | undefined {
-        if (state.hidingPlace(this.keyHash) !== undefined) {
+        if (state.findArchive(this.keyHash) !== undefined) {
             return undefined;
         }
         const record = state.find(this.keyHash);
@@ -58,12 +58,12 @@
         if (record === undefined) {
             return undefined;
         }
-        return this.asksFor(record)
+        return this.matchesRequest(record)
             ? Result.ok(claimOf(this.request, record, state.series, false))
             : keyReused();
     }
 
-    private asksFor({ digest }: ClaimRecord): boolean {
+    private matchesRequest({ digest }: ClaimRecord): boolean {
         return digest === this.digest || digest === unknownDigest;
     }
 
@@ -75,7 +75,7 @@
         if (record === undefined) {
             return cannotMove("the claim has expired");
         }
-        if (!this.asksFor(record)) {
+        if (!this.matchesRequest(record)) {
             return keyReused();
         }
         if (record.generation === from) {
--- a/packages/claims/src/lib/journal/PendingCalls.ts
+++ b/packages/claims/src/lib/journal/PendingCalls.ts
@@ -12,7 +12,7 @@
 }
 
 /** Calls whose claims may be in one archive. */
-interface HiddenCalls {
+interface ArchiveGroup {
     readonly archive: Archive;
     readonly calls: PendingCall[];
 }
@@ -25,7 +25,7 @@
 export class PendingCalls {
     private readonly calls = new Map<PendingCall, Waiting>();
 
-    constructor(private readonly clock: Clock, private readonly patience: number) {}
+    constructor(private readonly clock: Clock, private readonly callTimeout: number) {}
 
     get size(): number {
         return this.calls.size;
@@ -34,7 +34,7 @@
     /** Lets a call wait. */
     add(call: PendingCall): Promise<Outcome<Claim>> {
         return new Promise(end => {
-            const timer = this.clock.schedule(() => this.end(call, timedOut()), this.patience);
+            const timer = this.clock.schedule(() => this.end(call, timedOut()), this.callTimeout);
             this.calls.set(call, { end, timer });
         });
     }
@@ -70,17 +70,17 @@
     }
 
     /** The calls that need an archive to be read first, by the archive's name. */
-    hidden(state: PartitionState): Map<string, HiddenCalls> {
-        const hidden = new Map<string, HiddenCalls>();
+    groupByArchive(state: PartitionState): Map<string, ArchiveGroup> {
+        const groups = new Map<string, ArchiveGroup>();
         for (const call of this.calls.keys()) {
-            const archive = state.hidingPlace(call.keyHash);
+            const archive = state.findArchive(call.keyHash);
             if (archive !== undefined) {
-                const group = hidden.get(archive.name) ?? { archive, calls: [] };
+                const group = groups.get(archive.name) ?? { archive, calls: [] };
                 group.calls.push(call);
-                hidden.set(archive.name, group);
+                groups.set(archive.name, group);
             }
         }
-        return hidden;
+        return groups;
     }
 
     /** Ends every call in the same way. */
--- a/packages/claims/src/lib/journal/RecentSegments.ts
+++ b/packages/claims/src/lib/journal/RecentSegments.ts
@@ -9,7 +9,7 @@
 }
 
 /** Segments that are remembered: what a partition writes in 20 s at its full rate, and a copy of the store is some seconds old. */
-const most = 128;
+const maxSegments = 128;
 
 /**
  * The newest segments of a partition as the store had them, so that those which a copy of the store lacks can be written again.
@@ -27,7 +27,7 @@
     /** Adds the segment that follows the newest one, or replaces one that was written again. */
     put(segment: KnownSegment): void {
         const others = this.known.filter(({ number }) => number !== segment.number);
-        this.known = [...others, segment].sort((a, b) => a.number - b.number).slice(-most);
+        this.known = [...others, segment].sort((a, b) => a.number - b.number).slice(-maxSegments);
     }
 
     clear(): void {
--- a/packages/claims/src/lib/journal/partitionRows.ts
+++ b/packages/claims/src/lib/journal/partitionRows.ts
@@ -60,7 +60,7 @@
 }
 
 /** The prefix of the rows that tell in which era of the store the partition was settled. They sort after the base row. @internal */
-export function settlementPrefix(partition: number): string {
+export function recoveryMarkerPrefix(partition: number): string {
     return `${partitionPrefix(partition)}settled`;
 }
 
--- a/packages/claims/src/lib/left/LeftClaims.ts
+++ b/packages/claims/src/lib/left/LeftClaims.ts
@@ -8,7 +8,7 @@
     body: z.string(),
 });
 
-const leftClaimSchema = z.object({
+const finalClaimSchema = z.object({
     claim: z.string(),
     /** `ran`: to its end; `interrupted`: in part, or that cannot be told; `refused`: not at all. */
     end: z.enum(["ran", "interrupted", "refused"]),
@@ -16,7 +16,7 @@
     reply: replySchema.optional(),
 });
 
-const leftClaimsSchema = z.object({
+const finalClaimsSchema = z.object({
     version: z.literal(1),
     target: z.string(),
     incarnation: z.string(),
@@ -24,21 +24,21 @@
     until: z.number(),
     /** The highest generation that the runner has forgotten in each series. */
     forgotten: z.array(z.tuple([z.string(), z.int().min(0)])),
-    claims: z.array(leftClaimSchema),
+    claims: z.array(finalClaimSchema),
 });
 
 /** The answer of a plain service as a runner that has left wrote it down. @public */
 export type LeftReply = z.infer<typeof replySchema>;
 
 /** What became of one claim at a runner that has left. @public */
-export type LeftClaim = z.infer<typeof leftClaimSchema>;
+export type LeftClaim = z.infer<typeof finalClaimSchema>;
 
 /**
  * The claims of a runner that has left gracefully, written once it could run nothing more.
  *
  * @public
  */
-export type LeftClaims = z.infer<typeof leftClaimsSchema>;
+export type LeftClaims = z.infer<typeof finalClaimsSchema>;
 
 /**
  * What a runner that has left proves about a claim.
@@ -54,9 +54,9 @@
     | { readonly kind: "notRun" | "unknown"; };
 
 /** Reads the object of a runner. @returns Undefined when it is not one. @internal */
-export function parseLeftClaims(data: Uint8Array): LeftClaims | undefined {
+export function parseFinalClaims(data: Uint8Array): LeftClaims | undefined {
     try {
-        return leftClaimsSchema.safeParse(JSON.parse(Buffer.from(data).toString("utf8"))).data;
+        return finalClaimsSchema.safeParse(JSON.parse(Buffer.from(data).toString("utf8"))).data;
     }
     catch {
         return undefined;
@@ -64,7 +64,7 @@
 }
 
 /** The claims of one runner that has left, for look-ups. @internal */
-export class LeftIndex {
+export class FinalClaimsIndex {
     private readonly claims: ReadonlyMap<string, LeftClaim>;
     private readonly forgotten: ForgottenClaims;
 
--- a/packages/claims/src/lib/left/LeftClaimsStore.ts
+++ b/packages/claims/src/lib/left/LeftClaimsStore.ts
@@ -2,7 +2,7 @@
 import { type Clock, failure, type Outcome, platformCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type Claim, type Runner } from "../Claims.js";
-import { type LeftClaims, LeftIndex, type LeftOutcome, parseLeftClaims } from "./LeftClaims.js";
+import { FinalClaimsIndex, type LeftClaims, type LeftOutcome, parseFinalClaims } from "./LeftClaims.js";
 
 /** Options of {@link LeftClaimsStore}. @public */
 export interface LeftClaimsStoreOptions {
@@ -11,22 +11,22 @@
     /** Milliseconds that one call to the object store may take. */
     readonly timeout?: number;
     /** Milliseconds for which an object that was found is used again, and for which none is looked for again. */
-    readonly keepFound?: number;
-    readonly keepMissing?: number;
+    readonly foundTtl?: number;
+    readonly missingTtl?: number;
     /** Runners whose objects are kept in memory at most. */
     readonly limit?: number;
 }
 
 interface CachedRead {
-    readonly index: Promise<LeftIndex | undefined>;
+    readonly index: Promise<FinalClaimsIndex | undefined>;
     until: number;
 }
 
 const prefix = "claims/left/";
 
 /** Old objects of one target that are looked at in one go. */
-const maxOld = 8;
-const defaults = { timeout: 1000, keepFound: 30_000, keepMissing: 1000, limit: 16 };
+const maxOldObjects = 8;
+const defaults = { timeout: 1000, foundTtl: 30_000, missingTtl: 1000, limit: 16 };
 
 /**
  * Keeps, in the object store, what runners that left gracefully knew about their claims: one object for each.
@@ -50,7 +50,7 @@
     /** Writes the claims of a runner that can run nothing more, and deletes old objects of its target. */
     async write(left: LeftClaims): Promise<Outcome<void>> {
         const data = Buffer.from(JSON.stringify(left));
-        const written = await this.limited(this.options.objects.put(nameOf(left), data));
+        const written = await this.withTimeout(this.options.objects.put(nameOf(left), data));
         if (written.isOk) {
             await this.deleteOld(left);
         }
@@ -67,33 +67,33 @@
         return index?.outcome(claim.id) ?? { kind: "unknown" };
     }
 
-    private read(runner: Runner): Promise<LeftIndex | undefined> {
-        const { clock, keepFound, keepMissing, timeout } = this.options;
+    private read(runner: Runner): Promise<FinalClaimsIndex | undefined> {
+        const { clock, foundTtl, missingTtl, timeout } = this.options;
         const name = nameOf(runner);
         const known = this.reads.get(name);
         if (known !== undefined && clock.now() < known.until) {
             return known.index;
         }
         const index = this.fetch(runner);
-        const read = { index, until: clock.now() + timeout + keepMissing };
+        const read = { index, until: clock.now() + timeout + missingTtl };
         this.reads.delete(name);
         this.reads.set(name, read);
         this.trim();
         void index.then(found => {
-            read.until = clock.now() + (found === undefined ? keepMissing : keepFound);
+            read.until = clock.now() + (found === undefined ? missingTtl : foundTtl);
         });
         return index;
     }
 
-    private async fetch(runner: Runner): Promise<LeftIndex | undefined> {
+    private async fetch(runner: Runner): Promise<FinalClaimsIndex | undefined> {
         const left = await this.load(nameOf(runner));
         const matches = left?.target === runner.target && left.incarnation === runner.incarnation;
-        return matches ? new LeftIndex(left) : undefined;
+        return matches ? new FinalClaimsIndex(left) : undefined;
     }
 
     private async load(name: string): Promise<LeftClaims | undefined> {
-        const found = await this.limited(this.options.objects.get(name));
-        return found.isOk && found.value !== undefined ? parseLeftClaims(found.value) : undefined;
+        const found = await this.withTimeout(this.options.objects.get(name));
+        return found.isOk && found.value !== undefined ? parseFinalClaims(found.value) : undefined;
     }
 
     private trim(): void {
@@ -108,17 +108,17 @@
     /** Deletes the objects of earlier incarnations whose time is over. */
     private async deleteOld({ target, incarnation }: LeftClaims): Promise<void> {
         const { objects, clock } = this.options;
-        const names = await this.limited(objects.list(`${prefix}${encodeURIComponent(target)}/`));
+        const names = await this.withTimeout(objects.list(`${prefix}${encodeURIComponent(target)}/`));
         const own = nameOf({ target, incarnation });
-        for (const name of names.unwrapOr([]).filter(other => other !== own).slice(0, maxOld)) {
+        for (const name of names.unwrapOr([]).filter(other => other !== own).slice(0, maxOldObjects)) {
             const left = await this.load(name);
             if (left !== undefined && left.until < clock.date().getTime()) {
-                await this.limited(objects.delete(name));
+                await this.withTimeout(objects.delete(name));
             }
         }
     }
 
-    private limited<T>(call: Promise<Outcome<T>>): Promise<Outcome<T>> {
+    private withTimeout<T>(call: Promise<Outcome<T>>): Promise<Outcome<T>> {
         const { clock, timeout } = this.options;
         return new Promise((resolve, reject) => {
             const timer = clock.schedule(
--- a/packages/claims/src/lib/lostClaims.test.ts
+++ b/packages/claims/src/lib/lostClaims.test.ts
@@ -5,7 +5,7 @@
 import { ClaimSite } from "./testing/ClaimSite.js";
 
 /** Callers that come to any of three processes while the store comes back from copies, and runners that get claims late. */
-async function playCopies(seed: number): Promise<readonly number[]> {
+async function runWithCopies(seed: number): Promise<readonly number[]> {
     const site = new ClaimSite();
     const random = seededRandom(seed);
     const processes = [site.process(), site.process(), site.process()];
@@ -59,7 +59,7 @@
     const first = Number(process.env["RECLAIM_FIRST"] ?? 1);
     const count = Number(process.env["RECLAIM_SEEDS"] ?? 30);
     for (let seed = first; seed < first + count; seed++) {
-        const runs = await playCopies(seed);
+        const runs = await runWithCopies(seed);
         assert.deepEqual(runs.filter(times => times > 1), [], `seed ${seed}`);
         assert.ok(runs.length > 0, `seed ${seed}`);
     }
--- a/packages/claims/src/lib/reclaim/SettledEra.ts
+++ b/packages/claims/src/lib/reclaim/SettledEra.ts
@@ -1,7 +1,12 @@
 import { type TableStore, type Transaction } from "@waxwingspar/stores";
 import { failure, type Outcome, platformCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { conditionOf, readSettlement, type Settlement, settlementWrites } from "./Settlement.js";
+import {
+    readRecoveryMarker,
+    type RecoveryMarker,
+    recoveryMarkerCondition,
+    recoveryMarkerWrites,
+} from "./Settlement.js";
 
 /**
  * The era of the store in which the rows of a series were read, and how far the series was settled then. Its commits take effect only
@@ -9,9 +14,9 @@
  *
  * @internal
  */
-export class SettledEra {
+export class RecoveredEra {
     private readEra: number;
-    private settlement: Settlement | undefined;
+    private marker: RecoveryMarker | undefined;
 
     /** @param prefix - Of the rows of the series' settlement. */
     constructor(private readonly table: TableStore, private readonly prefix: string) {
@@ -29,30 +34,30 @@
     }
 
     /** Whether no claim was missing in that era, and every claim that was read had been granted. */
-    get wasSettled(): boolean {
-        return this.readEra === (this.settlement?.era ?? 0);
+    get wasRecovered(): boolean {
+        return this.readEra === (this.marker?.era ?? 0);
     }
 
     /** Goes on to the newest era. What was read before may differ from what the store holds at the same numbers and versions. */
-    follow(): void {
+    advance(): void {
         this.readEra = this.table.era;
     }
 
     /** Reads the settlement. It counts only if the era has not changed when the rows have been read, too. */
-    read(): Promise<Outcome<Settlement | undefined>> {
+    read(): Promise<Outcome<RecoveryMarker | undefined>> {
         return this.readEra === 0
-            ? Promise.resolve(Result.ok<Settlement | undefined, never>(undefined))
-            : readSettlement(this.table, this.prefix);
+            ? Promise.resolve(Result.ok<RecoveryMarker | undefined, never>(undefined))
+            : readRecoveryMarker(this.table, this.prefix);
     }
 
     /** Takes over the settlement that was read with the rows. */
-    use(settlement: Settlement | undefined): void {
-        this.settlement = settlement;
+    use(marker: RecoveryMarker | undefined): void {
+        this.marker = marker;
     }
 
     /** Commits in this era; an answer of another era proves nothing about this one. */
     async commit(transaction: Transaction): Promise<Outcome<Record<string, number>>> {
-        const conditions = [...transaction.conditions, conditionOf(this.prefix, this.settlement)];
+        const conditions = [...transaction.conditions, recoveryMarkerCondition(this.prefix, this.marker)];
         const outcome = await this.table.commit({ ...transaction, conditions });
         return this.isCurrent
             ? outcome
@@ -60,12 +65,12 @@
     }
 
     /** Commits, and notes that all that was lost is there again. */
-    async settle(transaction: Transaction): Promise<Outcome<Record<string, number>>> {
-        const writes = [...transaction.writes, ...settlementWrites(this.prefix, this.settlement, this.readEra)];
+    async commitRecovery(transaction: Transaction): Promise<Outcome<Record<string, number>>> {
+        const writes = [...transaction.writes, ...recoveryMarkerWrites(this.prefix, this.marker, this.readEra)];
         const outcome = await this.commit({ ...transaction, writes });
         if (outcome.isOk) {
             const read = await this.read();
-            this.settlement = this.isCurrent ? read.unwrapOr(this.settlement) : this.settlement;
+            this.marker = this.isCurrent ? read.unwrapOr(this.marker) : this.marker;
         }
         return outcome;
     }
--- a/packages/claims/src/lib/reclaim/createReportCollector.test.ts
+++ b/packages/claims/src/lib/reclaim/createReportCollector.test.ts
@@ -46,7 +46,12 @@
     asked: readonly ReportingProcess[] | undefined,
     links: LinkPool,
 ): Promise<Outcome<readonly ReportedClaim[]>> {
-    const collector = createReportCollector({ processes: () => asked, own: () => [claim("own")], links, atOnce: 2 });
+    const collector = createReportCollector({
+        processes: () => asked,
+        own: () => [claim("own")],
+        links,
+        concurrency: 2,
+    });
     const outcome = collector(request);
     await clock.advanceAsync(5_000, 50);
     return outcome;
--- a/packages/claims/src/lib/reclaim/createReportCollector.ts
+++ b/packages/claims/src/lib/reclaim/createReportCollector.ts
@@ -27,7 +27,7 @@
     /** Milliseconds to wait for the answer of one process; below the patience of a call that waits for its claim. */
     readonly timeout?: number;
     /** Processes that are asked at the same time. */
-    readonly atOnce?: number;
+    readonly concurrency?: number;
 }
 
 interface Answer {
@@ -43,7 +43,7 @@
     readonly answers: Map<string, Answer>;
 }
 
-const defaults = { timeout: 800, atOnce: 64 };
+const defaults = { timeout: 800, concurrency: 64 };
 
 /** Milliseconds after which a caller may come back: the list of processes lags by some seconds, a restart takes less. */
 const retryAfter = 1_000;
@@ -56,7 +56,7 @@
  * @public
  */
 export function createReportCollector(options: ReportCollectorOptions): CollectReports {
-    const { processes, own, links, timeout, atOnce } = { ...defaults, ...options };
+    const { processes, own, links, timeout, concurrency } = { ...defaults, ...options };
     /** What processes have answered so far, by series, while others have not. What they bar or begin later changes nothing in it. */
     const known = new Map<string, KnownAnswers>();
 
@@ -74,7 +74,7 @@
         const link = await links.connect(process.address);
         if (link.isErr) {
             const claims = answersOf(request).get(process.process)?.claims ?? [];
-            return process.isKnown ? missing(process, link.error) : Result.ok({ incarnation: "", claims });
+            return process.isKnown ? missingReport(process, link.error) : Result.ok({ incarnation: "", claims });
         }
         const { incarnation } = link.value.peer;
         const earlier = answersOf(request).get(process.process);
@@ -84,19 +84,19 @@
         const told = await link.value.request(reportMethodName, request, timeout);
         const claims = told.andThen(readReport);
         return claims.isErr
-            ? missing(process, claims.error)
+            ? missingReport(process, claims.error)
             : Result.ok({ incarnation, claims: [...earlier?.claims ?? [], ...claims.value] });
     }
 
     return async request => {
         const asked = processes();
         if (asked === undefined) {
-            return unsettled("the processes that may know claims are not known yet");
+            return claimUnavailable("the processes that may know claims are not known yet");
         }
         const answers = answersOf(request);
         let refusal: Outcome<never> | undefined;
-        for (let first = 0; first < asked.length; first += atOnce) {
-            const group = asked.slice(first, first + atOnce);
+        for (let first = 0; first < asked.length; first += concurrency) {
+            const group = asked.slice(first, first + concurrency);
             const outcomes = await Promise.all(group.map(process => ask(process, request)));
             outcomes.forEach((outcome, index) => {
                 const { process = "" } = group[index] ?? {};
@@ -123,10 +123,10 @@
         : Result.err(failure(transportCodes.protocolViolation, "the answer is no report of claims"));
 }
 
-function missing({ process }: ReportingProcess, { message }: Failure): Outcome<never> {
-    return unsettled(`claims may be lost, and ${process} has not told those that it knows: ${message}`);
+function missingReport({ process }: ReportingProcess, { message }: Failure): Outcome<never> {
+    return claimUnavailable(`claims may be lost, and ${process} has not told those that it knows: ${message}`);
 }
 
-function unsettled(message: string): Outcome<never> {
+function claimUnavailable(message: string): Outcome<never> {
     return Result.err(failure(requestCodes.claimUnavailable, message, { retryAfter }));
 }
--- a/packages/claims/src/lib/reclaim/strongestOfEach.ts
+++ b/packages/claims/src/lib/reclaim/strongestOfEach.ts
@@ -6,16 +6,16 @@
  * @param reports - Of two reports of one claim the one with the digest counts.
  * @internal
  */
-export function strongestOfEach(reports: readonly ReportedClaim[]): readonly ReportedClaim[] {
-    const strongest = new Map<string, ReportedClaim>();
+export function selectPrevailingClaims(reports: readonly ReportedClaim[]): readonly ReportedClaim[] {
+    const prevailing = new Map<string, ReportedClaim>();
     for (const report of reports) {
-        const known = strongest.get(report.keyHash);
-        strongest.set(report.keyHash, known === undefined ? report : stronger(known, report));
+        const known = prevailing.get(report.keyHash);
+        prevailing.set(report.keyHash, known === undefined ? report : selectPrevailing(known, report));
     }
-    return [...strongest.values()];
+    return [...prevailing.values()];
 }
 
-function stronger(one: ReportedClaim, other: ReportedClaim): ReportedClaim {
+function selectPrevailing(one: ReportedClaim, other: ReportedClaim): ReportedClaim {
     if (isSame(one, other)) {
         const state = one.state === "ran" || other.state === "ran" ? "ran" : "granted";
         return { ...one, ...other, digest: one.digest ?? other.digest, expiry: one.expiry ?? other.expiry, state };
--- a/packages/claims/src/lib/routing/ClaimRouter.ts
+++ b/packages/claims/src/lib/routing/ClaimRouter.ts
@@ -24,18 +24,18 @@
     /** Milliseconds to wait for one owner. Longer than a journal lets a call wait, so that its own answer arrives. */
     readonly attemptTimeout?: number;
     /** Milliseconds after which no other owner is tried. */
-    readonly patience?: number;
+    readonly totalTimeout?: number;
     /** Owners tried for one call. */
     readonly maxAttempts?: number;
     /** Milliseconds for which an owner that did not answer is asked last. */
-    readonly avoidFor?: number;
+    readonly avoidDuration?: number;
 }
 
 const defaults = {
     attemptTimeout: 1_200,
-    patience: 2_500,
+    totalTimeout: 2_500,
     maxAttempts: 3,
-    avoidFor: 2_000,
+    avoidDuration: 2_000,
 };
 
 const retryAfter = 500;
@@ -48,7 +48,7 @@
 }
 
 /** Failures after which another owner may do better. Any other answer is the owner's own and final. */
-const unreached: ReadonlySet<ResultCode> = new Set<ResultCode>([
+const unreachableCodes: ReadonlySet<ResultCode> = new Set<ResultCode>([
     transportCodes.notConnected,
     transportCodes.connectionLost,
     transportCodes.requestTimeout,
@@ -110,8 +110,8 @@
     }
 
     private async call(request: ClaimRequest, call: ClaimCall): Promise<Outcome<Claim>> {
-        const { journals, clock, patience, maxAttempts, avoidFor } = this.options;
-        const deadline = clock.now() + patience;
+        const { journals, clock, totalTimeout, maxAttempts, avoidDuration } = this.options;
+        const deadline = clock.now() + totalTimeout;
         const owners = this.ranking.rank(partitionOf(request, journals.partitions));
         if (owners.length === 0) {
             return call.local();
@@ -119,11 +119,11 @@
         for (let attempt = 0; attempt < maxAttempts && clock.now() < deadline; attempt++) {
             const owner = owners[attempt % owners.length];
             const outcome = owner === undefined ? unreachable() : await this.ask(owner, call, deadline);
-            if (outcome.isOk || !unreached.has(outcome.error.code)) {
+            if (outcome.isOk || !unreachableCodes.has(outcome.error.code)) {
                 return outcome;
             }
             if (owner !== undefined) {
-                this.ranking.avoid(owner.process, avoidFor);
+                this.ranking.avoid(owner.process, avoidDuration);
             }
         }
         return unreachable();
--- a/packages/claims/src/lib/routing/OwnerRanking.ts
+++ b/packages/claims/src/lib/routing/OwnerRanking.ts
@@ -32,7 +32,7 @@
 
     /** The owners of a partition, the usual one first and those to be avoided last. */
     rank(partition: number): readonly ClaimOwner[] {
-        const ranked = this.ranked(partition);
+        const ranked = this.cachedRanking(partition);
         const now = this.clock.now();
         const avoids = ({ process }: ClaimOwner) => (this.avoided.get(process) ?? -Infinity) > now;
         return [...ranked.filter(owner => !avoids(owner)), ...ranked.filter(avoids)];
@@ -49,7 +49,7 @@
         this.avoided.set(process, now + duration);
     }
 
-    private ranked(partition: number): readonly ClaimOwner[] {
+    private cachedRanking(partition: number): readonly ClaimOwner[] {
         const owners = this.owners();
         if (owners !== this.list) {
             this.list = owners;
@@ -59,17 +59,17 @@
         if (known !== undefined) {
             return known;
         }
-        const ranked = firstByScore(owners, partition);
+        const ranked = rankByScore(owners, partition);
         this.ranks.set(partition, ranked);
         return ranked;
     }
 }
 
 /** Owners of a partition that are ever asked. */
-const ranksKept = 4;
+const maxRanked = 4;
 
-function firstByScore(owners: readonly ClaimOwner[], partition: number): readonly ClaimOwner[] {
+function rankByScore(owners: readonly ClaimOwner[], partition: number): readonly ClaimOwner[] {
     const scored = owners.map(owner => ({ owner, score: rendezvousScore(partition, owner.process) }));
     scored.sort((a, b) => b.score - a.score || (a.owner.process < b.owner.process ? -1 : 1));
-    return scored.slice(0, ranksKept).map(({ owner }) => owner);
+    return scored.slice(0, maxRanked).map(({ owner }) => owner);
 }
--- a/packages/claims/src/lib/testing/Runners.ts
+++ b/packages/claims/src/lib/testing/Runners.ts
@@ -12,7 +12,7 @@
     isComplete = true;
     private readonly ran = new Set<string>();
     private readonly refused = new Set<string>();
-    private readonly barred = new Map<string, number>();
+    private readonly rejectedBelow = new Map<string, number>();
     private readonly dead = new Set<string>();
 
     /** Sends a request to the runner of its claim. */
@@ -24,8 +24,8 @@
         if (this.ran.has(claim.id)) {
             return "repeated";
         }
-        const isBarred = identity.generation < (this.barred.get(identity.series ?? "") ?? 0);
-        if (isBarred || this.refused.has(claim.id)) {
+        const isRejected = identity.generation < (this.rejectedBelow.get(identity.series ?? "") ?? 0);
+        if (isRejected || this.refused.has(claim.id)) {
             this.refused.add(claim.id);
             return "refused";
         }
@@ -59,7 +59,7 @@
     }
 
     private report({ series, before }: ReportRequest): ReportedClaim[] {
-        this.barred.set(series, Math.max(before, this.barred.get(series) ?? 0));
+        this.rejectedBelow.set(series, Math.max(before, this.rejectedBelow.get(series) ?? 0));
         return [...this.ran].flatMap((id): ReportedClaim[] => {
             const identity = decodeClaim(id);
             const isAsked = identity?.series === series && identity.generation < before;
