--- a/packages/claims/src/lib/Claims.ts
+++ b/packages/claims/src/lib/Claims.ts
@@ -1,13 +1,13 @@
 import { type Outcome } from "@waxwingspar/utils";
 
 /**
- * The one process start that may run a request: its agent's target and incarnation.
+ * The only process that may run a claimed request, identified by its target and incarnation.
  *
  * @public
  */
 export interface Runner {
     readonly target: string;
-    /** The incarnation of the agent; a restarted agent is another runner. */
+    /** Identifies one run of the agent process. A restarted agent is a different runner. */
     readonly incarnation: string;
 }
 
@@ -17,26 +17,26 @@
  * @public
  */
 export interface ClaimRequest {
-    /** The service or model. Keys of different routes, and of different organisations, never meet. */
+    /** The service or model. Idempotency keys are scoped to a route and an organisation. */
     readonly route: string;
     readonly organisation: string;
     /** The caller's idempotency key. */
     readonly key: string;
-    /** A digest of what is asked, to tell a duplicate from another request under the same key. */
+    /** A digest of the request, which distinguishes a duplicate from a different request with the same key. */
     readonly digest: string;
-    /** Who is to run it if nobody has claimed the key yet. */
+    /** The runner to record if the key has not been claimed yet. */
     readonly runner: Runner;
-    /** How long the claim must be remembered, in milliseconds. */
+    /** Milliseconds for which the claim must be kept. */
     readonly retention: number;
 }
 
 /**
- * A claim that has been recorded. Only `runner` may run the request, and its memory tells repeats.
+ * A recorded claim. Only `runner` may run the request; it recognises repeats by the claim's id.
  *
  * @public
  */
 export interface Claim {
-    /** Identifies the claim to the agent: the same for every duplicate of one request. */
+    /** Identifies the claim to the agent. All duplicates of one request get the same id. */
     readonly id: string;
     readonly runner: Runner;
     /** True for the call that recorded the claim, false for a duplicate that found it. */
@@ -52,15 +52,15 @@
     /**
      * Claims a request, or finds the claim of its earlier duplicate.
      *
-     * @returns The claim; `keyReused` if the key stands for another request; `claimUnavailable` if nothing was
-     * recorded or that cannot be told, in which case the request must not run.
+     * @returns The claim; `keyReused` if the key was used for a different request; `claimUnavailable` if no claim was
+     * recorded or the outcome is unknown, in which case the request must not run.
      */
     acquire(request: ClaimRequest): Promise<Outcome<Claim>>;
     /**
-     * Moves a claim to another runner. Allowed only after its runner has refused it as not run and promised never to
-     * run it.
+     * Moves a claim to another runner. Allowed only after the current runner has reported that it has not run the
+     * request and never will.
      *
-     * @returns The new claim; `claimUnavailable` when another process moved it first or nothing could be recorded.
+     * @returns The new claim; `claimUnavailable` if another process moved it first or the move could not be recorded.
      */
     move(claim: Claim, request: ClaimRequest): Promise<Outcome<Claim>>;
 }
--- a/packages/claims/src/lib/ForgottenClaims.ts
+++ b/packages/claims/src/lib/ForgottenClaims.ts
@@ -1,13 +1,13 @@
 import { decodeClaim } from "./claimId.js";
 
 /**
- * What an agent keeps of the claims that it has forgotten: for each series the highest generation among them. A claim
- * with no mark at the agent may run only if it was recorded after every one that was forgotten. So the agent may forget
- * at any time without running a request twice, though the store may keep a claim longer than its retention.
+ * Tracks the claims that an agent has evicted from memory: the highest evicted generation of each series. The agent
+ * runs a claim that it has no entry for only if the claim was recorded after every evicted one. The agent can therefore
+ * evict entries at any time without running a request twice, even if the store keeps a claim longer than its retention.
  *
  * @example
  * ```ts
- * forgotten.add(oldClaim); // when its mark is dropped
+ * forgotten.add(oldClaim); // when its entry is evicted
  * if (!known && forgotten.mayInclude(claim)) {
  *     return outcomeUnknown;
  * }
@@ -17,17 +17,17 @@
 export class ForgottenClaims {
     private readonly highest: Map<string, number>;
 
-    /** @param entries - What {@link entries} of another gave. */
+    /** @param entries - The {@link ForgottenClaims.entries} of another instance. */
     constructor(entries: Iterable<readonly [series: string, generation: number]> = []) {
         this.highest = new Map(entries);
     }
 
-    /** The highest forgotten generation of each series. */
+    /** The highest evicted generation of each series. */
     entries(): [series: string, generation: number][] {
         return [...this.highest];
     }
 
-    /** Notes that a claim's mark is dropped. */
+    /** Records that a claim was evicted. */
     add(claim: string): void {
         const identity = decodeClaim(claim);
         if (identity !== undefined) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Whether a claim without a mark may be one that was forgotten; then its outcome is unknown. */
+    /** Whether a claim without an entry may have been evicted, in which case its outcome is unknown. */
     mayInclude(claim: string): boolean {
         const identity = decodeClaim(claim);
         return identity === undefined || identity.generation <= (this.highest.get(identity.series ?? "") ?? -1);
--- a/packages/claims/src/lib/TableClaims.test.ts
+++ b/packages/claims/src/lib/TableClaims.test.ts
@@ -17,7 +17,7 @@
     return { clock, store, claims: new TableClaims(store, clock) };
 }
 
-test("two racing duplicates get one claim", async () => {
+test("two concurrent duplicates get the same claim", async () => {
     const { claims } = setUp();
     const outcomes = await Promise.all([claims.acquire(request("a")), claims.acquire(request("b"))]);
     const granted = outcomes.map(outcome => outcome.unwrapOr(undefined));
@@ -27,14 +27,14 @@
     assert.ok(other.isErr && other.error.code === requestCodes.keyReused);
 });
 
-test("a lost answer leaves the claim with the runner it names", async () => {
+test("a claim whose write response is lost stays with its runner", async () => {
     const { store, claims } = setUp();
     store.faults.set({ losesAfter: 1 });
     assert.ok((await claims.acquire(request("a"))).isOk);
     assert.equal((await claims.acquire(request("b"))).unwrapOr(undefined)?.runner.target, "a");
 });
 
-test("a claim moves once, and an outdated one not at all", async () => {
+test("a claim is moved once, and an outdated claim cannot be moved", async () => {
     const { claims } = setUp();
     const first = (await claims.acquire(request("a"))).unwrapOr(undefined);
     assert.ok(first);
@@ -45,7 +45,7 @@
     assert.ok((await claims.move(first, request("d"))).isErr);
 });
 
-test("a claim that was acknowledged and that a copy of the store lacks is not granted to another runner", async () => {
+test("an acknowledged claim that a restored copy of the store lacks is not granted to another runner", async () => {
     const { store, claims } = setUp();
     const restore = store.saveCopy();
     assert.ok((await claims.acquire(request("a"))).isOk);
@@ -54,7 +54,7 @@
     assert.notEqual(repeat?.created, true);
 });
 
-test("a claim that was moved does not go back to its first runner with a copy of the store", async () => {
+test("a moved claim does not return to its first runner when the store is restored from a copy", async () => {
     const { store, claims } = setUp();
     const first = (await claims.acquire(request("a"))).unwrapOr(undefined);
     assert.ok(first);
@@ -66,7 +66,7 @@
     assert.equal(repeat?.id, moved?.id);
 });
 
-test("a claim is not written again after its retention", async () => {
+test("a lost claim is not written again after its retention", async () => {
     const { store, clock, claims } = setUp();
     const restore = store.saveCopy();
     assert.ok((await claims.acquire(request("a"))).isOk);
--- a/packages/claims/src/lib/TableClaims.ts
+++ b/packages/claims/src/lib/TableClaims.ts
@@ -34,18 +34,18 @@
 
 interface KnownClaim {
     readonly claim: ClaimRow;
-    /** The clock's time from which it may be forgotten. */
+    /** Clock time in milliseconds from which the claim may be evicted. */
     readonly expiry: number;
 }
 
 /** Options of {@link TableClaims}. @public */
 export interface TableClaimsOptions {
     /**
-     * Asks the other processes that may know claims which the store has lost, and the runners. By default nobody, which is right only
-     * where no other process records or runs claims.
+     * Collects the claims that the other processes and the runners know but the store may have lost. The default
+     * collects none, which is correct only if no other process records or runs claims.
      */
     readonly collectReports?: CollectReports;
-    /** Runs after each look for lost claims. */
+    /** Runs after each attempt to recover lost claims. */
     readonly onReclaim?: (reclaim: Reclaim) => void;
 }
 
@@ -54,7 +54,7 @@
     onReclaim: () => undefined,
 };
 
-/** A row and the claim in it, read in an era of the store in which no claim is missing. */
+/** A row and its claim, read after lost claims were recovered in the same era of the store. */
 interface FoundRow {
     readonly row: Row;
     readonly claim: ClaimRow | undefined;
@@ -66,20 +66,21 @@
 const markerPrefix = "claim-settled";
 const series = "table";
 const retryAfter = 1000;
-/** Claims that are remembered: as many as an agent remembers of those that it ran. */
+/** Claims kept in memory at most. An agent keeps the same number of the claims that it ran. */
 const maxKnownClaims = 20_000;
 
 /**
- * Claims with a row of its own for each request: the plainest way, for small sites and as the baseline of measurements.
- * It costs one write for each request and keeps every row; the store's operators delete old ones.
+ * Stores each claim in a row of its own. This simple design suits small sites and is the baseline for benchmarks. It
+ * costs one write per request and never deletes rows; operators of the store delete old ones.
  *
- * A store that came back from a copy may lack claims that it had acknowledged. Before anything is granted or told in a new era of the
- * store, one process asks all that may know such claims and writes them again.
+ * A store that was restored from an older copy may lack claims that it had acknowledged; each restore starts a new era
+ * of the store. Before any claim is granted or returned in a new era, one process collects such claims from all
+ * processes that may know them and writes them again.
  *
  * @public
  */
 export class TableClaims implements Claims {
-    /** By row key, the newest claim that the store is known to have held. */
+    /** The newest claim that the store is known to have held, by row key. */
     private readonly known = new LRUCache<string, KnownClaim>({ max: maxKnownClaims });
     private readonly options: Required<TableClaimsOptions>;
     private marker: RecoveryMarker | undefined;
@@ -124,7 +125,7 @@
         const { row, claim: present } = found.value;
         const isOutdated = this.findLost(row.key, present) !== undefined;
         if (present === undefined || isOutdated || idOf(request, present) !== claim.id) {
-            return unavailable(failure(platformCodes.conditionFailed, "the claim was moved before"));
+            return unavailable(failure(platformCodes.conditionFailed, "the claim has already been moved"));
         }
         const generation = this.generation(present.generation, found.value);
         const moved = { ...present, generation, runner: request.runner };
@@ -143,7 +144,7 @@
             .map(([key, { claim }]) => ({ ...claim, keyHash: key.slice(tablePrefix.length), state: "granted" }));
     }
 
-    /** The claim that the store has acknowledged, if it now lacks it or holds an earlier one. */
+    /** The claim that the store acknowledged, if the store now has none or an older one for the key. */
     private findLost(key: string, present: ClaimRow | undefined): ClaimRow | undefined {
         const known = this.known.get(key);
         if (known === undefined || this.clock.now() >= known.expiry) {
@@ -152,7 +153,7 @@
         return (present?.generation ?? 0) < known.claim.generation ? known.claim : undefined;
     }
 
-    /** Writes a claim again that the store had acknowledged and lacks now, so that its runner stays the only one. */
+    /** Rewrites a claim that the store acknowledged and has lost, so that no second runner is granted the request. */
     private async restore(found: FoundRow, lost: ClaimRow, request: ClaimRequest): Promise<Outcome<Claim>> {
         const written = await this.write(found, lost, request.retention);
         if (written.isErr && written.error.code !== platformCodes.conditionFailed) {
@@ -161,7 +162,7 @@
         return this.acquire(request);
     }
 
-    /** The time of recording, as wide as a series without a counter can be; it only has to grow for each key. */
+    /** Derived from the wall clock, since this series has no counter. It only has to increase for each key. */
     private generation(earlier: number, { era }: FoundRow): number {
         return Math.max(earlier + 1, firstGeneration(era) + this.clock.date().getTime());
     }
@@ -177,7 +178,7 @@
             if (row.isErr) {
                 return Result.err(row.error);
             }
-            // Answers of two eras do not fit together.
+            // Reads from two eras must not be combined.
             if (this.store.era === era) {
                 const claim = claimOf(row.value);
                 this.remember(row.value.key, claim, request.retention);
@@ -186,7 +187,7 @@
         }
     }
 
-    /** Makes sure that the store lacks no claim of an earlier era. */
+    /** Ensures that the claims of earlier eras which the store lost have been written again. */
     private async ensureRecovered(era: number): Promise<Outcome<void>> {
         if (era === (this.marker?.era ?? 0)) {
             return Result.ok<void, never>(undefined);
@@ -208,7 +209,7 @@
         return recovered.isErr ? Result.err(recovered.error) : this.ensureRecovered(era);
     }
 
-    /** Writes again what processes know and the store lacks. @returns How many claims were reported. */
+    /** Collects the claims that processes know and rewrites those that the store lost. @returns The number reported. */
     private async recoverAll(era: number, marker: RecoveryMarker | undefined): Promise<Outcome<number>> {
         const request = { series, before: firstGeneration(era) };
         const reports = await this.options.collectReports(request);
@@ -230,7 +231,7 @@
         return committed.map(() => reported.length);
     }
 
-    /** Writes a claim again that a process knows, unless the store holds it or a later one. */
+    /** Rewrites a reported claim unless the store holds it or a newer one. */
     private async recover(
         claim: ReportedClaim,
         era: number,
@@ -241,7 +242,7 @@
             return Result.err(row.error);
         }
         const found = claimOf(row.value);
-        // One that its runner has begun stands whatever is found: the other was never granted, or has been moved away.
+        // A claim that its runner has started prevails: the stored one was never granted or has been moved away.
         if (found !== undefined && claim.state !== "ran" && found.generation >= claim.generation) {
             return Result.ok<void, never>(undefined);
         }
@@ -278,15 +279,15 @@
         return hasEffect ? Result.ok(effect.value) : outcome;
     }
 
-    /** Commits in an era; an answer of another era proves nothing about this one. */
+    /** Commits in an era. A response from another era does not show whether the commit took effect in this one. */
     private async commit(era: number, transaction: Transaction): Promise<Outcome<Record<string, number>>> {
         const outcome = await this.store.commit(transaction);
         return this.store.era === era
             ? outcome
-            : Result.err(failure(platformCodes.storeUnknown, "the store came back from a copy meanwhile"));
+            : Result.err(failure(platformCodes.storeUnknown, "the store was restored from a copy during the call"));
     }
 
-    /** Generations only grow, so an older claim of a copy does not replace the one that is known. */
+    /** Generations only increase, so an older claim from a copy does not replace a newer known one. */
     private remember(key: string, claim: ClaimRow | undefined, retention: number): void {
         if (claim !== undefined && claim.generation >= (this.known.get(key)?.claim.generation ?? 0)) {
             this.known.set(key, { claim, expiry: this.clock.now() + retention });
@@ -312,7 +313,7 @@
 }
 
 function keyReused(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.keyReused, "the key stands for another request"));
+    return Result.err(failure(requestCodes.keyReused, "the key was used for a different request"));
 }
 
 function unavailable(cause: Failure): Outcome<Claim> {
--- a/packages/claims/src/lib/claimId.test.ts
+++ b/packages/claims/src/lib/claimId.test.ts
@@ -5,7 +5,7 @@
 
 const text = fc.string({ unit: "grapheme", maxLength: 40 });
 
-test("claim ids survive any field", () => {
+test("encoding and decoding a claim id preserves every field", () => {
     fc.assert(
         fc.property(text, text, text, text, text, fc.nat(), (route, organisation, key, target, incarnation, n) => {
             const keyHash = keyHashOf({ route, organisation, key });
@@ -22,7 +22,7 @@
     );
 });
 
-test("text that is no claim id is refused", () => {
+test("text that is not a claim id is rejected", () => {
     const good = encodeClaim({
         route: "r",
         organisation: "o",
@@ -45,7 +45,7 @@
     }
 });
 
-test("fields do not run into each other", () => {
+test("hashed fields do not run together", () => {
     assert.notEqual(shortHash("ab", "c"), shortHash("a", "bc"));
     assert.notEqual(shortHash("a", ""), shortHash("a"));
 });
--- a/packages/claims/src/lib/claimId.ts
+++ b/packages/claims/src/lib/claimId.ts
@@ -2,7 +2,7 @@
 import { type ClaimRequest, type Runner } from "./Claims.js";
 
 /**
- * What a claim's id tells the agent.
+ * The fields encoded in a claim's id.
  *
  * @public
  */
@@ -12,11 +12,11 @@
     /** The hash of route, organisation and key, 128 bits in base64url. */
     readonly keyHash: string;
     /**
-     * Grows with each record of the key. A claim that is moved, even back to an earlier runner, gets another id, so that
-     * an old promise never binds a new claim.
+     * Increases each time a claim is recorded for the key. A claim that is moved, even back to an earlier runner, gets
+     * a new id, so that a runner's earlier refusal never applies to the new claim.
      */
     readonly generation: number;
-    /** Where generations are counted: of two claims of one series, the one recorded later has the higher generation. */
+    /** Generations are ordered within a series: a claim recorded later has a higher generation. */
     readonly series?: string;
     /** The one runner that may run the request under this id. */
     readonly runner: Runner;
@@ -29,7 +29,8 @@
 const keyHashPattern = /^[\w-]{22}$/;
 
 /**
- * Hashes strings to 128 bits in base64url (22 characters). Fields cannot run into each other.
+ * Hashes strings to 128 bits in base64url (22 characters). Each field is length-prefixed, so that fields cannot run
+ * together.
  *
  * @public
  */
@@ -41,11 +42,15 @@
     return hash.digest().subarray(0, hashBytes).toString("base64url");
 }
 
-/** The digest of a claim that only its runner remembered; any request under its key counts as a duplicate. @internal */
+/**
+ * The digest of a claim that only its runner reported. Any request with its key counts as a duplicate.
+ *
+ * @internal
+ */
 export const unknownDigest = "";
 
 /**
- * The hash under which a request's claim is kept.
+ * The hash under which a request's claim is stored.
  *
  * @public
  */
@@ -54,7 +59,7 @@
 }
 
 /**
- * Writes a claim's identity as one string of printable ASCII without spaces.
+ * Encodes a claim's identity as a string of printable ASCII without spaces.
  *
  * @example
  * ```ts
@@ -71,9 +76,9 @@
 }
 
 /**
- * Reads a claim's id.
+ * Decodes a claim's id.
  *
- * @returns The identity, or undefined when the text is not a claim id; such a request must be refused.
+ * @returns The identity, or undefined if the text is not a valid claim id; such a request must be refused.
  * @public
  */
 export function decodeClaim(id: string): ClaimIdentity | undefined {
--- a/packages/claims/src/lib/left/LeftClaims.ts
+++ b/packages/claims/src/lib/left/LeftClaims.ts
@@ -10,9 +10,9 @@
 
 const finalClaimSchema = z.object({
     claim: z.string(),
-    /** `ran`: to its end; `interrupted`: in part, or that cannot be told; `refused`: not at all. */
+    /** `ran`: completed; `interrupted`: partly run, or unknown; `refused`: not run at all. */
     end: z.enum(["ran", "interrupted", "refused"]),
-    /** The whole answer, where one is kept. */
+    /** The complete response, if it was kept. */
     reply: replySchema.optional(),
 });
 
@@ -20,32 +20,35 @@
     version: z.literal(1),
     target: z.string(),
     incarnation: z.string(),
-    /** Milliseconds of the wall clock, after which the object may be deleted. Deleting early only makes claims unknown. */
+    /**
+     * Wall-clock time in milliseconds after which the object may be deleted. If it is deleted earlier, the outcomes of
+     * its claims become unknown.
+     */
     until: z.number(),
-    /** The highest generation that the runner has forgotten in each series. */
+    /** The highest generation of each series that the runner evicted from memory. */
     forgotten: z.array(z.tuple([z.string(), z.int().min(0)])),
     claims: z.array(finalClaimSchema),
 });
 
-/** The answer of a plain service as a runner that has left wrote it down. @public */
+/** The response of a plain service, stored by a runner at shutdown. @public */
 export type LeftReply = z.infer<typeof replySchema>;
 
-/** What became of one claim at a runner that has left. @public */
+/** The outcome of one claim at a runner that has shut down. @public */
 export type LeftClaim = z.infer<typeof finalClaimSchema>;
 
 /**
- * The claims of a runner that has left gracefully, written once it could run nothing more.
+ * The claims of a runner that shut down gracefully, written once it could no longer run any request.
  *
  * @public
  */
 export type LeftClaims = z.infer<typeof finalClaimsSchema>;
 
 /**
- * What a runner that has left proves about a claim.
+ * What the claims written by a runner at shutdown prove about one claim.
  *
- * - `answered`: it ran, and this is its answer.
- * - `notRun`: it did not run there and never will, so that the claim may be moved.
- * - `unknown`: it ran without a kept answer, or in part, or that cannot be told.
+ * - `answered`: it ran, and this is the response.
+ * - `notRun`: it did not run there and never will, so the claim may be moved.
+ * - `unknown`: it ran but its response was not kept, it ran partly, or the outcome is not known.
  *
  * @public
  */
@@ -53,7 +56,7 @@
     | { readonly kind: "answered"; readonly reply: LeftReply; }
     | { readonly kind: "notRun" | "unknown"; };
 
-/** Reads the object of a runner. @returns Undefined when it is not one. @internal */
+/** Parses the object that a runner wrote. @returns Undefined if it does not fit the schema. @internal */
 export function parseFinalClaims(data: Uint8Array): LeftClaims | undefined {
     try {
         return finalClaimsSchema.safeParse(JSON.parse(Buffer.from(data).toString("utf8"))).data;
@@ -63,17 +66,17 @@
     }
 }
 
-/** The claims of one runner that has left, for look-ups. @internal */
+/** An index of the claims that one runner wrote at shutdown. @internal */
 export class FinalClaimsIndex {
     private readonly claims: ReadonlyMap<string, LeftClaim>;
     private readonly forgotten: ForgottenClaims;
 
-    constructor(left: LeftClaims) {
-        this.claims = new Map(left.claims.map(claim => [claim.claim, claim]));
-        this.forgotten = new ForgottenClaims(left.forgotten);
+    constructor(finalClaims: LeftClaims) {
+        this.claims = new Map(finalClaims.claims.map(claim => [claim.claim, claim]));
+        this.forgotten = new ForgottenClaims(finalClaims.forgotten);
     }
 
-    /** What became of a claim of this runner. One that is neither listed nor forgotten never ran. */
+    /** The outcome of a claim of this runner. A claim that is neither listed nor evicted never ran. */
     outcome(claim: string): LeftOutcome {
         const listed = this.claims.get(claim);
         if (listed === undefined) {
--- a/packages/claims/src/lib/left/LeftClaimsStore.test.ts
+++ b/packages/claims/src/lib/left/LeftClaimsStore.test.ts
@@ -16,7 +16,7 @@
     return { id, runner };
 }
 
-function leftClaims(clock: ManualClock, changes: Partial<LeftClaims> = {}): LeftClaims {
+function finalClaims(clock: ManualClock, changes: Partial<LeftClaims> = {}): LeftClaims {
     return {
         version: 1,
         ...runner,
@@ -32,41 +32,45 @@
     };
 }
 
-function create(): { clock: ManualClock; objects: MemoryObjectStore; left: LeftClaimsStore; } {
+function create(): { clock: ManualClock; objects: MemoryObjectStore; store: LeftClaimsStore; } {
     const clock = new ManualClock();
     const objects = new MemoryObjectStore({ clock });
-    return { clock, objects, left: new LeftClaimsStore({ objects, clock }) };
+    return { clock, objects, store: new LeftClaimsStore({ objects, clock }) };
 }
 
-test("a runner that has left tells what became of each claim", async () => {
-    const { clock, objects, left } = create();
-    assert.ok((await left.write(leftClaims(clock))).isOk);
+test("the claims that a runner wrote at shutdown give the outcome of each claim", async () => {
+    const { clock, objects, store } = create();
+    assert.ok((await store.write(finalClaims(clock))).isOk);
     const kinds = async (...keys: string[]): Promise<string[]> =>
-        Promise.all(keys.map(async key => (await left.find(claim(key))).kind));
-    assert.deepEqual(await left.find(claim("ran")), { kind: "answered", reply });
+        Promise.all(keys.map(async key => (await store.find(claim(key))).kind));
+    assert.deepEqual(await store.find(claim("ran")), { kind: "answered", reply });
     assert.deepEqual(await kinds("large", "broken", "refused", "absent"), ["unknown", "unknown", "notRun", "notRun"]);
-    assert.equal((await left.find(claim("forgotten", 4))).kind, "unknown", "absence proves nothing here");
-    assert.equal(objects.faults.arrivals.read, 2, "the listing of old objects, and one read for all duplicates");
+    assert.equal(
+        (await store.find(claim("forgotten", 4))).kind,
+        "unknown",
+        "absence proves nothing for an evicted generation",
+    );
+    assert.equal(objects.faults.arrivals.read, 2, "one listing of old objects and one read for all duplicates");
 });
 
-test("without an object, or with another runner's, nothing is known", async () => {
-    const { clock, objects, left } = create();
-    assert.equal((await left.find(claim("ran"))).kind, "unknown", "a killed runner writes none");
-    const other = leftClaims(clock, { incarnation: "i2" });
-    for (const data of [JSON.stringify(other), "{", JSON.stringify({ ...leftClaims(clock), version: 2 })]) {
+test("without an object, or with one of another runner, the outcome is unknown", async () => {
+    const { clock, objects, store } = create();
+    assert.equal((await store.find(claim("ran"))).kind, "unknown", "a killed runner writes no object");
+    const other = finalClaims(clock, { incarnation: "i2" });
+    for (const data of [JSON.stringify(other), "{", JSON.stringify({ ...finalClaims(clock), version: 2 })]) {
         await objects.put("claims/left/t%2F1/i1", Buffer.from(data));
         await clock.advanceAsync(2000, 100);
-        assert.equal((await left.find(claim("absent"))).kind, "unknown");
+        assert.equal((await store.find(claim("absent"))).kind, "unknown");
     }
 });
 
-test("a store that does not answer is asked once, and for a bounded time", async () => {
-    const { clock, objects, left } = create();
-    await left.write(leftClaims(clock));
+test("an unresponsive store is read once, with a timeout", async () => {
+    const { clock, objects, store } = create();
+    await store.write(finalClaims(clock));
     const before = objects.faults.arrivals.read;
     objects.faults.set({ delay: 60_000 });
     let found: string[] = [];
-    void Promise.all([left.find(claim("ran")), left.find(claim("absent"))]).then(outcomes => {
+    void Promise.all([store.find(claim("ran")), store.find(claim("absent"))]).then(outcomes => {
         found = outcomes.map(({ kind }) => kind);
     });
     await clock.advanceAsync(1000, 100);
@@ -74,17 +78,21 @@
     assert.equal(objects.faults.arrivals.read - before, 1);
     objects.faults.set({ delay: 0 });
     await clock.advanceAsync(1000, 100);
-    assert.equal((await left.find(claim("ran"))).kind, "answered", "it is asked again later");
+    assert.equal(
+        (await store.find(claim("ran"))).kind,
+        "answered",
+        "the object is read again once the cached absence has expired",
+    );
 });
 
-test("the next runner of the target deletes objects whose time is over", async () => {
-    const { clock, objects, left } = create();
-    await left.write(leftClaims(clock));
-    await left.write(leftClaims(clock, { target: "other" }));
-    await left.write(leftClaims(clock, { incarnation: "i2" }));
+test("the next runner of the target deletes expired objects", async () => {
+    const { clock, objects, store } = create();
+    await store.write(finalClaims(clock));
+    await store.write(finalClaims(clock, { target: "other" }));
+    await store.write(finalClaims(clock, { incarnation: "i2" }));
     assert.equal((await objects.list("claims/left/")).unwrapOr([]).length, 3);
     clock.advance(day + 1);
-    await left.write(leftClaims(clock, { incarnation: "i3" }));
+    await store.write(finalClaims(clock, { incarnation: "i3" }));
     const names = (await objects.list("claims/left/")).unwrapOr([]);
     assert.deepEqual(names, ["claims/left/other/i1", "claims/left/t%2F1/i3"]);
 });
--- a/packages/claims/src/lib/left/LeftClaimsStore.ts
+++ b/packages/claims/src/lib/left/LeftClaimsStore.ts
@@ -8,12 +8,13 @@
 export interface LeftClaimsStoreOptions {
     readonly objects: ObjectStore;
     readonly clock: Clock;
-    /** Milliseconds that one call to the object store may take. */
+    /** Milliseconds after which a call to the object store times out. */
     readonly timeout?: number;
-    /** Milliseconds for which an object that was found is used again, and for which none is looked for again. */
+    /** Milliseconds for which an object that was found is cached. */
     readonly foundTtl?: number;
+    /** Milliseconds for which the absence of an object is cached. */
     readonly missingTtl?: number;
-    /** Runners whose objects are kept in memory at most. */
+    /** Runners whose objects are cached at most. */
     readonly limit?: number;
 }
 
@@ -24,18 +25,18 @@
 
 const prefix = "claims/left/";
 
-/** Old objects of one target that are looked at in one go. */
+/** Old objects of one target that are checked for deletion in one pass. */
 const maxOldObjects = 8;
 const defaults = { timeout: 1000, foundTtl: 30_000, missingTtl: 1000, limit: 16 };
 
 /**
- * Keeps, in the object store, what runners that left gracefully knew about their claims: one object for each.
+ * Stores the claims of runners that shut down gracefully in the object store, one object per runner.
  *
  * @example
  * ```ts
- * const left = new LeftClaimsStore({ objects, clock });
- * await left.write(claimsOfThisAgent); // by the agent, when nothing can run in it any more
- * const outcome = await left.find(claim); // by an entry that cannot reach the runner of a claim
+ * const finalClaims = new LeftClaimsStore({ objects, clock });
+ * await finalClaims.write(claimsOfThisAgent); // by the agent, once it can no longer run any request
+ * const outcome = await finalClaims.find(claim); // by an entry that cannot reach the runner of a claim
  * ```
  * @public
  */
@@ -47,20 +48,20 @@
         this.options = { ...defaults, ...options };
     }
 
-    /** Writes the claims of a runner that can run nothing more, and deletes old objects of its target. */
-    async write(left: LeftClaims): Promise<Outcome<void>> {
-        const data = Buffer.from(JSON.stringify(left));
-        const written = await this.withTimeout(this.options.objects.put(nameOf(left), data));
+    /** Writes the claims of a runner that can no longer run any request, and deletes old objects of its target. */
+    async write(finalClaims: LeftClaims): Promise<Outcome<void>> {
+        const data = Buffer.from(JSON.stringify(finalClaims));
+        const written = await this.withTimeout(this.options.objects.put(nameOf(finalClaims), data));
         if (written.isOk) {
-            await this.deleteOld(left);
+            await this.deleteOld(finalClaims);
         }
         return written;
     }
 
     /**
-     * What the runner of a claim left about it.
+     * Looks up the outcome that the runner of a claim wrote at shutdown.
      *
-     * @returns `unknown` also when the runner left nothing or the store does not answer in time.
+     * @returns `unknown` also if the runner wrote no object or the store does not respond in time.
      */
     async find(claim: Pick<Claim, "id" | "runner">): Promise<LeftOutcome> {
         const index = await this.read(claim.runner);
@@ -86,9 +87,9 @@
     }
 
     private async fetch(runner: Runner): Promise<FinalClaimsIndex | undefined> {
-        const left = await this.load(nameOf(runner));
-        const matches = left?.target === runner.target && left.incarnation === runner.incarnation;
-        return matches ? new FinalClaimsIndex(left) : undefined;
+        const loaded = await this.load(nameOf(runner));
+        const matches = loaded?.target === runner.target && loaded.incarnation === runner.incarnation;
+        return matches ? new FinalClaimsIndex(loaded) : undefined;
     }
 
     private async load(name: string): Promise<LeftClaims | undefined> {
@@ -105,14 +106,14 @@
         }
     }
 
-    /** Deletes the objects of earlier incarnations whose time is over. */
+    /** Deletes the expired objects of earlier incarnations. */
     private async deleteOld({ target, incarnation }: LeftClaims): Promise<void> {
         const { objects, clock } = this.options;
         const names = await this.withTimeout(objects.list(`${prefix}${encodeURIComponent(target)}/`));
         const own = nameOf({ target, incarnation });
         for (const name of names.unwrapOr([]).filter(other => other !== own).slice(0, maxOldObjects)) {
-            const left = await this.load(name);
-            if (left !== undefined && left.until < clock.date().getTime()) {
+            const loaded = await this.load(name);
+            if (loaded !== undefined && loaded.until < clock.date().getTime()) {
                 await this.withTimeout(objects.delete(name));
             }
         }
--- a/packages/claims/src/lib/lostClaims.test.ts
+++ b/packages/claims/src/lib/lostClaims.test.ts
@@ -4,7 +4,7 @@
 import { claimOf, request } from "./journal/testing/JournalSite.js";
 import { ClaimSite } from "./testing/ClaimSite.js";
 
-/** Callers that come to any of three processes while the store comes back from copies, and runners that get claims late. */
+/** Simulates calls to any of three processes while the store is restored from copies and claims reach runners late. */
 async function runWithCopies(seed: number): Promise<readonly number[]> {
     const site = new ClaimSite();
     const random = seededRandom(seed);
@@ -41,8 +41,9 @@
 const another = { target: "b", incarnation: "1" };
 
 /**
- * A caller's request ran twice: its claim was acknowledged, the store came back from a copy that lacked it, and the caller's repeat went
- * to a process that had never seen the claim. That process read an empty row and granted the key to another runner.
+ * Guards against a request that runs twice: the store acknowledges a claim and is then restored from a copy that lacks
+ * it. The caller's retry goes to a process that has never seen the claim, reads an empty row and would grant the key to
+ * another runner.
  */
 test("a claim that a copy of the store lacks is granted to another runner by no process", async () => {
     const site = new ClaimSite();
@@ -55,7 +56,7 @@
     assert.notEqual(repeat.unwrapOr(undefined)?.created, true);
 });
 
-test("copies of the store at any moment let no request run twice, whatever process is asked", async () => {
+test("no request runs twice when the store is restored from copies, whatever process is called", async () => {
     const first = Number(process.env["RECLAIM_FIRST"] ?? 1);
     const count = Number(process.env["RECLAIM_SEEDS"] ?? 30);
     for (let seed = first; seed < first + count; seed++) {
@@ -65,8 +66,9 @@
     }
 });
 
-// The row of the copy names the first runner, which refuses and so lets the claim move once more, past the runner that has it.
-test("a move that a copy of the store lacks is not made again by another process", async () => {
+// The restored row names the first runner. That runner refuses, which would allow a second move past the current
+// runner.
+test("a move that a restored copy of the store lacks is not repeated by another process", async () => {
     const site = new ClaimSite();
     const first = site.process();
     const claim = claimOf(await first.acquire(request("moved")));
--- a/packages/claims/src/lib/routing/ClaimRouter.test.ts
+++ b/packages/claims/src/lib/routing/ClaimRouter.test.ts
@@ -78,7 +78,7 @@
         return entry;
     }
 
-    /** A key whose usual owner is the given entry. */
+    /** A key whose partition ranks the given entry first. */
     keyOwnedBy(index: number): string {
         const ranking = new OwnerRanking(() => this.owners, this.clock);
         for (let number = 0;; number++) {
@@ -99,7 +99,7 @@
     }
 }
 
-test("entries agree on the owner, and duplicates meet there", async () => {
+test("entries agree on the owner, so duplicates find the same claim", async () => {
     const site = new Site();
     const key = site.keyOwnedBy(2);
     const calls = [0, 1, 2].map(index => site.wait(site.entry(index).router.acquire(request(key, `t${index}`))));
@@ -109,7 +109,7 @@
     assert.deepEqual(site.entries.map(entry => entry.journals.size), [0, 0, 1]);
 });
 
-test("a lost answer is asked for again, and finds the claim that was recorded", async () => {
+test("a call whose response is lost is retried and finds the recorded claim", async () => {
     const site = new Site();
     const key = site.keyOwnedBy(1);
     const call = site.entry(0).router.acquire(request(key));
@@ -135,7 +135,7 @@
     assert.equal(again?.created, false);
 });
 
-test("an owner that hangs costs one timeout, then it is asked last", async () => {
+test("an unresponsive owner costs one timeout and is then tried last", async () => {
     const site = new Site();
     const key = site.keyOwnedBy(1);
     await site.wait(site.entry(0).router.acquire(request(key)));
@@ -165,7 +165,7 @@
     assert.deepEqual(site.entries.map(entry => entry.journals.open.length), [0, 1, 0]);
 });
 
-test("a new owner reads its partitions and an old one drops them", async () => {
+test("a new owner loads its partitions and the previous one unloads them", async () => {
     const site = new Site();
     const key = site.keyOwnedBy(1);
     await site.wait(site.entry(1).router.acquire(request(key)));
--- a/packages/claims/src/lib/routing/ClaimRouter.ts
+++ b/packages/claims/src/lib/routing/ClaimRouter.ts
@@ -15,19 +15,19 @@
 export interface ClaimRouterOptions {
     /** The name of this process. */
     readonly process: string;
-    /** The processes that may serve partitions, as this process knows them. A changed list is another array. */
+    /** The processes known to serve partitions. When the list changes, a new array is returned. */
     readonly owners: () => readonly ClaimOwner[];
     /** The journals of this process. */
     readonly journals: ClaimJournals;
     readonly links: LinkPool;
     readonly clock: Clock;
-    /** Milliseconds to wait for one owner. Longer than a journal lets a call wait, so that its own answer arrives. */
+    /** Milliseconds to wait for one owner. Longer than a journal's call timeout, so that its response still arrives. */
     readonly attemptTimeout?: number;
-    /** Milliseconds after which no other owner is tried. */
+    /** Milliseconds after which no further owner is tried. */
     readonly totalTimeout?: number;
-    /** Owners tried for one call. */
+    /** Attempts per call at most. */
     readonly maxAttempts?: number;
-    /** Milliseconds for which an owner that did not answer is asked last. */
+    /** Milliseconds for which an owner that did not respond is tried last. */
     readonly avoidDuration?: number;
 }
 
@@ -40,14 +40,14 @@
 
 const retryAfter = 500;
 
-/** A call, in the two ways in which it can be made. */
+/** A call that can be made remotely, by its method and parameters, or locally. */
 interface ClaimCall {
     readonly method: string;
     readonly params: unknown;
     readonly local: () => Promise<Outcome<Claim>>;
 }
 
-/** Failures after which another owner may do better. Any other answer is the owner's own and final. */
+/** Failures after which another owner is tried. Any other response comes from the owner itself and is final. */
 const unreachableCodes: ReadonlySet<ResultCode> = new Set<ResultCode>([
     transportCodes.notConnected,
     transportCodes.connectionLost,
@@ -58,9 +58,9 @@
 ]);
 
 /**
- * The claims as an entry uses them: it finds the owner of the request's partition among the live entries and asks it.
- * Both calls are idempotent and owners exclude one another through the store, so a call whose outcome is unknown is
- * made again, also at another owner. A refusal of the owner itself is final: another owner would meet the same store,
+ * Routes claim calls of an entry to the owner of the request's partition among the live entries. Both calls are
+ * idempotent, and the store ensures that concurrent owners do not conflict, so a call with an unknown outcome is
+ * retried, possibly at another owner. A refusal by the owner itself is final: another owner would use the same store
  * and would first have to read the whole partition from it.
  *
  * @public
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Reads the partitions that this process has come to serve, and drops those that it need not keep. Call it when the
-     * list of owners has changed, so that the first claims of a partition need not wait for the reading.
+     * Loads the partitions that this process now owns and unloads those that it need not keep. Call it when the list of
+     * owners changes, so that the first claims of a partition need not wait for the load.
      */
     async maintain(): Promise<void> {
         const { journals, process } = this.options;
@@ -151,9 +151,11 @@
     const parsed = claimSchema.safeParse(value);
     return parsed.success
         ? Result.ok(parsed.data)
-        : Result.err(failure(transportCodes.protocolViolation, "the answer is no claim"));
+        : Result.err(failure(transportCodes.protocolViolation, "the response does not fit the claim schema"));
 }
 
 function unreachable(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.claimUnavailable, "no owner of the key can be reached", { retryAfter }));
+    return Result.err(
+        failure(requestCodes.claimUnavailable, "no owner of the key's partition can be reached", { retryAfter }),
+    );
 }
--- a/packages/claims/src/lib/routing/OwnerRanking.ts
+++ b/packages/claims/src/lib/routing/OwnerRanking.ts
@@ -15,7 +15,7 @@
 
 /**
  * Ranks the owners of a partition by rendezvous hashing, so that all entries with the same list agree, and the loss of
- * one process moves only its own partitions.
+ * one process moves only the partitions that it owned.
  *
  * @internal
  */
@@ -25,12 +25,12 @@
     private readonly avoided = new Map<string, number>();
 
     /**
-     * @param owners - The processes that are live now. The same array object means the same list.
+     * @param owners - Returns the live processes. The same array object means an unchanged list.
      * @param clock - The clock for {@link OwnerRanking.avoid}.
      */
     constructor(private readonly owners: () => readonly ClaimOwner[], private readonly clock: Clock) {}
 
-    /** The owners of a partition, the usual one first and those to be avoided last. */
+    /** The owners of a partition in order of preference; those to be avoided come last. */
     rank(partition: number): readonly ClaimOwner[] {
         const ranked = this.cachedRanking(partition);
         const now = this.clock.now();
@@ -38,7 +38,7 @@
         return [...ranked.filter(owner => !avoids(owner)), ...ranked.filter(avoids)];
     }
 
-    /** Puts a process that cannot be reached last for a while. */
+    /** Ranks an unreachable process last for a duration in milliseconds. */
     avoid(process: string, duration: number): void {
         const now = this.clock.now();
         for (const [name, until] of this.avoided) {
@@ -65,7 +65,7 @@
     }
 }
 
-/** Owners of a partition that are ever asked. */
+/** Owners kept in the ranking of a partition. */
 const maxRanked = 4;
 
 function rankByScore(owners: readonly ClaimOwner[], partition: number): readonly ClaimOwner[] {
--- a/packages/claims/src/lib/routing/claimMethods.ts
+++ b/packages/claims/src/lib/routing/claimMethods.ts
@@ -17,7 +17,7 @@
     retention: z.number().positive(),
 });
 
-/** A claim as it travels between processes. @internal */
+/** A claim as sent between processes. @internal */
 export const claimSchema = z.object({ id: z.string(), runner: runnerSchema, created: z.boolean() });
 
 const acquireSchema = z.object({ request: claimRequestSchema });
@@ -27,7 +27,7 @@
 export const claimMethodNames = { acquire: "claims.acquire", move: "claims.move" } as const;
 
 /**
- * The JSON-RPC methods through which other entries reach the claims of this process.
+ * The JSON-RPC methods through which other entries access the claims of this process.
  *
  * @param claims - The journals of this process.
  * @public
--- a/packages/claims/src/lib/routing/partitionOf.ts
+++ b/packages/claims/src/lib/routing/partitionOf.ts
@@ -4,8 +4,8 @@
 const hasher = await xxhash();
 
 /**
- * The partition that keeps the claim of a request. The hash only spreads keys; whether two keys are equal is told by a
- * longer one.
+ * The partition that stores the claim of a request. This hash only distributes keys; keys are compared by a longer
+ * hash.
  *
  * @param partitions - The number of partitions.
  * @public
@@ -19,7 +19,7 @@
 }
 
 /**
- * A repeatable score for rendezvous hashing.
+ * A deterministic score for rendezvous hashing.
  *
  * @internal
  */
--- a/packages/claims/src/lib/testing/ClaimSite.ts
+++ b/packages/claims/src/lib/testing/ClaimSite.ts
@@ -4,17 +4,17 @@
 import { TableClaims } from "../TableClaims.js";
 import { Runners } from "./Runners.js";
 
-/** A store on a manual clock, and any number of processes that keep claims in it. */
+/** A store on a manual clock and any number of processes that record claims in it. */
 export class ClaimSite {
     readonly clock = new ManualClock();
     readonly store = new MemoryTableStore({ clock: this.clock });
 
     /** The processes that run claims. */
     readonly runners = new Runners();
-    /** The processes that live, and so tell one another which claims they know. */
+    /** The live processes, which report the claims that they know. */
     private readonly processes = new Set<TableClaims>();
 
-    /** The claims of one more process. */
+    /** Starts a process. */
     process(): TableClaims {
         const collectReports = this.runners.collector(before => this.reports(before));
         const process = new TableClaims(new AnsweredEra(this.store), this.clock, { collectReports });
@@ -22,7 +22,7 @@
         return process;
     }
 
-    /** Ends a process, with all that only it knew. */
+    /** Stops a process and discards its memory. */
     kill(process: TableClaims): void {
         this.processes.delete(process);
     }
--- a/packages/claims/src/lib/testing/Runners.ts
+++ b/packages/claims/src/lib/testing/Runners.ts
@@ -4,11 +4,13 @@
 import { type Claim, type Runner } from "../Claims.js";
 import { type CollectReports, type ReportedClaim, type ReportRequest } from "../reclaim/ClaimReport.js";
 
-/** The runners of a site as the claims see them: each runs a claim once, and none that it was told not to begin any more. */
+/**
+ * Simulated runners of a site. Each runs a claim at most once and rejects claims that a report request has ruled out.
+ */
 export class Runners {
-    /** How often each key ran, over all runners. */
+    /** The number of runs of each key over all runners. */
     readonly runs = new Map<string, number>();
-    /** While false a process that may know claims does not answer. */
+    /** While false, a process that may know claims does not respond. */
     isComplete = true;
     private readonly ran = new Set<string>();
     private readonly refused = new Set<string>();
@@ -34,7 +36,7 @@
         return "ran";
     }
 
-    /** Refuses a claim that has not begun, so that it may be moved. */
+    /** Refuses a claim that has not started, so that it may be moved. */
     refuse(claim: Claim): boolean {
         const refuses = !this.ran.has(claim.id);
         if (refuses) {
@@ -43,18 +45,18 @@
         return refuses;
     }
 
-    /** Ends a runner, with all that it remembers. */
+    /** Stops a runner and discards its memory. */
     kill(runner: Runner): void {
         this.dead.add(nameOf(runner));
     }
 
-    /** Asks the runners, and others that may know claims. */
+    /** Collects reports from the runners and from others that may know claims. */
     collector(others: (before: number) => readonly ReportedClaim[]): CollectReports {
         return request =>
             Promise.resolve(
                 this.isComplete
                     ? Result.ok([...this.report(request), ...others(request.before)])
-                    : Result.err(failure(requestCodes.claimUnavailable, "a process does not answer")),
+                    : Result.err(failure(requestCodes.claimUnavailable, "a process does not respond")),
             );
     }
 
