--- a/packages/claims/src/lib/reclaim/ClaimReport.ts
+++ b/packages/claims/src/lib/reclaim/ClaimReport.ts
@@ -1,16 +1,18 @@
 import { type Outcome } from "@waxwingspar/utils";
 import { z } from "zod";
 
-/** A claim that a process knows, though the store may have lost it. @public */
+/** A claim that a process knows and the store may have lost. @public */
 export const reportedClaimSchema = z.object({
     keyHash: z.string(),
     generation: z.int().min(0),
     runner: z.object({ target: z.string(), incarnation: z.string() }),
-    /** `ran`: its runner has begun it, so that no other may; `granted`: it was recorded, and nothing else is known. */
+    /**
+     * `ran`: its runner has started it, so no other runner may; `granted`: it was recorded and nothing else is known.
+     */
     state: z.enum(["ran", "granted"]),
-    /** The hash of the request's digest, where it is known; a runner does not know it. */
+    /** The hash of the request's digest, if known. Runners do not know it. */
     digest: z.string().optional(),
-    /** Partition time in milliseconds from which the claim may be forgotten, where it is known. */
+    /** Partition time in milliseconds from which the claim may be dropped, if known. */
     expiry: z.number().optional(),
 });
 
@@ -19,36 +21,37 @@
 
 /** Which claims to report. @public */
 export const reportRequestSchema = z.object({
-    /** The series that counts their generations. */
+    /** The series of their generations. */
     series: z.string().max(64),
-    /** Claims with a lower generation were granted before the store came back from a copy. */
+    /** Claims with a lower generation were granted before the store was restored from a copy. */
     before: z.int().min(0),
 });
 
 /** The type of {@link reportRequestSchema}. @public */
 export type ReportRequest = z.infer<typeof reportRequestSchema>;
 
-/** What a process answers. @public */
+/** The response of a process. @public */
 export const claimReportSchema = z.object({ claims: z.array(reportedClaimSchema) });
 
-/** The JSON-RPC method that entries and agents answer. @public */
+/** The JSON-RPC method that entries and agents serve. @public */
 export const reportMethodName = "claims.report";
 
 /**
- * Asks every process that may know claims of an earlier era for them. A runner that has reported does not begin any other claim of the
- * request's range. It fails unless each process has answered that may still hold or begin one.
+ * Collects the claims of earlier eras of the store from every process that may know them. Once a runner has reported,
+ * it starts no other claim of the request's range. The call fails unless every process that may still know or start
+ * such a claim has responded.
  *
  * @public
  */
 export type CollectReports = (request: ReportRequest) => Promise<Outcome<readonly ReportedClaim[]>>;
 
-/** What became of one look for lost claims, for logs and metrics. @public */
+/** The result of one attempt to recover lost claims, for logs and metrics. @public */
 export interface Reclaim {
     readonly series: string;
-    /** The era of the store in which the claims were looked for. */
+    /** The era of the store in which the recovery ran. */
     readonly era: number;
-    /** Claims that processes reported. */
+    /** The number of claims that processes reported. */
     readonly reported: number;
-    /** Why new claims are still refused; undefined when the series is settled. */
+    /** Why new claims are still refused; undefined once the claims of the series have been recovered. */
     readonly refusal: string | undefined;
 }
--- a/packages/claims/src/lib/reclaim/Settlement.ts
+++ b/packages/claims/src/lib/reclaim/Settlement.ts
@@ -5,23 +5,24 @@
 const markerValueSchema = z.object({ era: z.int().min(0) });
 
 /**
- * The note in the store that no claim of a series is missing as of an era. While the store is in a later era, claims may have been lost.
+ * A row in the store stating that the lost claims of a series were recovered in an era. While the store is in a later
+ * era, claims may be missing.
  *
  * @internal
  */
 export interface RecoveryMarker {
-    /** The row that is this settlement's alone. */
+    /** The key of the row, used by this marker only. */
     readonly key: string;
     readonly version: number;
     readonly era: number;
 }
 
 /**
- * The condition that holds until the series is settled anew. A version alone would not do, since a store that came back from a copy
- * gives it out again; the key of the row is used once.
+ * The condition that holds until the series is recovered again. A row version alone would not be enough, since a store
+ * that was restored from a copy assigns the same versions again; the key of the row is unique.
  *
- * @param prefix - Of the rows of the series' settlement.
- * @param known - The settlement as last read; undefined before the first.
+ * @param prefix - The key prefix of the series' recovery markers.
+ * @param known - The marker as last read; undefined before the first.
  * @internal
  */
 export function recoveryMarkerCondition(
@@ -31,7 +32,7 @@
     return known === undefined ? { key: prefix, version: 0 } : { key: known.key, version: known.version };
 }
 
-/** The writes that replace a settlement. @internal */
+/** The writes that replace a recovery marker. @internal */
 export function recoveryMarkerWrites(
     prefix: string,
     known: RecoveryMarker | undefined,
@@ -42,7 +43,7 @@
     return known === undefined ? [first, added] : [first, added, { key: known.key }];
 }
 
-/** Reads the settlement of a series. @internal */
+/** Reads the recovery marker of a series. @internal */
 export async function readRecoveryMarker(
     table: TableStore,
     prefix: string,
--- a/packages/claims/src/lib/reclaim/createReportCollector.test.ts
+++ b/packages/claims/src/lib/reclaim/createReportCollector.test.ts
@@ -20,7 +20,7 @@
     return { type: "hello", protocol: 1, process, role, incarnation: "1", dataCentre: "d" };
 }
 
-/** Links to processes, by port; nobody listens at the others. */
+/** Links to processes by port; connections to other ports are refused. */
 function linksTo(reports: readonly Report[], role: Hello["role"] = "entry"): LinkPool {
     const connect = ({ port }: Address): Promise<Outcome<Link>> => {
         const report = reports[port];
@@ -63,7 +63,7 @@
     return outcome.error.message;
 }
 
-test("every process is asked for the claims of the series and told which of them are barred", async () => {
+test("every process is asked for the claims of the series below the request's generation limit", async () => {
     const heard: ReportRequest[] = [];
     const reports = ["a", "b", "c"].map((key): Report => asked => {
         heard.push(asked);
@@ -74,13 +74,13 @@
     assert.deepEqual(heard, [request, request, request]);
 });
 
-test("nothing is settled while a process does not answer, or the processes are not known", async () => {
-    assert.match(refusalOf(await collect(processes(true, true), linksTo([() => []]))), /t1 has not told/);
+test("collecting fails while a process does not respond or the list of processes is unknown", async () => {
+    assert.match(refusalOf(await collect(processes(true, true), linksTo([() => []]))), /t1 has not reported/);
     assert.match(refusalOf(await collect(undefined, linksTo([]))), /not known yet/);
-    assert.match(refusalOf(await collect(processes(true), linksTo([() => []], "agent"))), /t0 has not told/);
+    assert.match(refusalOf(await collect(processes(true), linksTo([() => []], "agent"))), /t0 has not reported/);
 });
 
-test("a process that has answered is not asked again when another one had not", async () => {
+test("a retry asks only the processes that have not responded", async () => {
     const asked = [0, 0];
     const reports = [0, 1].map((index): Report => () => {
         asked[index] = (asked[index] ?? 0) + 1;
@@ -104,7 +104,7 @@
     assert.deepEqual(asked, [2, 2], "another era");
 });
 
-test("a process that only the configuration names is left out when nobody listens there", async () => {
+test("a process known only from the configuration is skipped when nothing listens at its address", async () => {
     const outcome = await collect(processes(true, false), linksTo([() => [claim("a")]]));
     assert.equal(outcome.unwrapOr([]).length, 2);
 });
--- a/packages/claims/src/lib/reclaim/createReportCollector.ts
+++ b/packages/claims/src/lib/reclaim/createReportCollector.ts
@@ -9,55 +9,62 @@
     type ReportRequest,
 } from "./ClaimReport.js";
 
-/** A process that may know claims of an earlier era, or may still begin them. @public */
+/** A process that may know claims of an earlier era of the store, or may still start them. @public */
 export interface ReportingProcess {
     readonly process: string;
     readonly address: Address;
-    /** False for one that nothing shows to be running: it is left out when nobody listens at its address. */
+    /** Whether the process is known to be running. If not, it is skipped when nothing listens at its address. */
     readonly isKnown: boolean;
 }
 
 /** Options of {@link createReportCollector}. @public */
 export interface ReportCollectorOptions {
-    /** Every other entry and agent; undefined while that is not known. */
+    /** All other entries and agents; undefined while they are not known. */
     readonly processes: () => readonly ReportingProcess[] | undefined;
     /** The claims that this process knows itself. */
     readonly own: (request: ReportRequest) => readonly ReportedClaim[];
     readonly links: LinkPool;
-    /** Milliseconds to wait for the answer of one process; below the patience of a call that waits for its claim. */
+    /**
+     * Milliseconds to wait for the response of one process. Shorter than the timeout of a call that waits for its
+     * claim.
+     */
     readonly timeout?: number;
-    /** Processes that are asked at the same time. */
+    /** Concurrent requests at most. */
     readonly concurrency?: number;
 }
 
 interface Answer {
-    /** The start of the process that answered last; a later one has barred nothing yet. */
+    /** The incarnation that responded last. A later incarnation does not reject claims of the request's range yet. */
     readonly incarnation: string;
-    /** What all its starts told. */
+    /** The claims reported by all incarnations of the process. */
     readonly claims: readonly ReportedClaim[];
 }
 
 interface KnownAnswers {
     readonly before: number;
-    /** By the names of processes. */
+    /** By process name. */
     readonly answers: Map<string, Answer>;
 }
 
 const defaults = { timeout: 800, concurrency: 64 };
 
-/** Milliseconds after which a caller may come back: the list of processes lags by some seconds, a restart takes less. */
+/** Milliseconds after which a caller may retry: the list of processes lags by some seconds, a restart takes less. */
 const retryAfter = 1_000;
 
 /**
- * Asks all entries and agents for the claims that they know. One that does not answer may have begun a claim, or begin it later, so
- * nothing is settled without it until the list of processes has dropped it. A start of one that has answered is not asked again in the same era,
- * so that slow processes hold a look up one after the other at most.
+ * Collects the claims that all entries and agents know. A process that does not respond may have started a claim or may
+ * start it later, so recovery does not complete until it responds or is removed from the list of processes. An
+ * incarnation that has responded is not asked again in the same era, so that a retry waits only for the processes that
+ * have not.
  *
  * @public
  */
 export function createReportCollector(options: ReportCollectorOptions): CollectReports {
     const { processes, own, links, timeout, concurrency } = { ...defaults, ...options };
-    /** What processes have answered so far, by series, while others have not. What they bar or begin later changes nothing in it. */
+    /**
+     * The responses so far, by series, while others are missing. They stay valid, since a process that has responded
+     * starts no other claim of the request's range.
+     */
     const known = new Map<string, KnownAnswers>();
 
     function answersOf({ series, before }: ReportRequest): KnownAnswers["answers"] {
@@ -91,7 +98,7 @@
     return async request => {
         const asked = processes();
         if (asked === undefined) {
-            return claimUnavailable("the processes that may know claims are not known yet");
+            return claimUnavailable("the list of processes that may know claims is not known yet");
         }
         const answers = answersOf(request);
         let refusal: Outcome<never> | undefined;
@@ -120,11 +127,11 @@
     const parsed = claimReportSchema.safeParse(value);
     return parsed.success
         ? Result.ok(parsed.data.claims)
-        : Result.err(failure(transportCodes.protocolViolation, "the answer is no report of claims"));
+        : Result.err(failure(transportCodes.protocolViolation, "the response does not fit the claim report schema"));
 }
 
 function missingReport({ process }: ReportingProcess, { message }: Failure): Outcome<never> {
-    return claimUnavailable(`claims may be lost, and ${process} has not told those that it knows: ${message}`);
+    return claimUnavailable(`claims may be lost, and ${process} has not reported those that it knows: ${message}`);
 }
 
 function claimUnavailable(message: string): Outcome<never> {
--- a/packages/claims/src/lib/reclaim/generations.ts
+++ b/packages/claims/src/lib/reclaim/generations.ts
@@ -1,12 +1,13 @@
 /**
- * Generations of one era of the store. They leave room for the number of a segment (12 digits) and for the time of day in milliseconds
- * until the year 2096, and for two thousand eras below the largest safe integer.
+ * Generations available in one era of the store. The range holds a segment number (12 digits) or a wall-clock time in
+ * milliseconds until the year 2096, and two thousand eras fit below the largest safe integer.
  */
 const generationsPerEra = 4_000_000_000_000;
 
 /**
- * The lowest generation of a claim that is granted in an era of the store. A claim of an earlier era has a lower one, whatever numbers
- * the store gives out again, so that a runner can tell which claims a reclaim has settled.
+ * The lowest generation of a claim granted in an era of the store. Claims of earlier eras have lower generations, even
+ * if the restored store assigns the same segment numbers again, so a runner can recognise claims from before a
+ * recovery.
  *
  * @internal
  */
--- a/packages/claims/src/lib/reclaim/strongestOfEach.ts
+++ b/packages/claims/src/lib/reclaim/strongestOfEach.ts
@@ -1,9 +1,9 @@
 import { type ReportedClaim } from "./ClaimReport.js";
 
 /**
- * Of each key the claim that must stand: the one that its runner has begun, else the one that was recorded last.
+ * Selects the prevailing claim of each key: the one that its runner has started, otherwise the one recorded last.
  *
- * @param reports - Of two reports of one claim the one with the digest counts.
+ * @param reports - Reports of the same claim are merged; a digest or expiry known to only one of them is kept.
  * @internal
  */
 export function selectPrevailingClaims(reports: readonly ReportedClaim[]): readonly ReportedClaim[] {
