--- a/packages/claims/src/lib/journal/ArchiveIndex.test.ts
+++ b/packages/claims/src/lib/journal/ArchiveIndex.test.ts
@@ -4,7 +4,7 @@
 import { shortHash } from "../claimId.js";
 import { ArchiveIndex, fingerprint } from "./ArchiveIndex.js";
 
-test("an index knows all its keys, also after a trip through the store, and few others", () => {
+test("a decoded index contains all its keys and no others", () => {
     const seed = 20261202;
     fc.assert(
         fc.property(fc.uniqueArray(fc.nat(), { maxLength: 300 }), numbers => {
@@ -19,6 +19,6 @@
     );
 });
 
-test("bytes that are no index are refused", () => {
+test("bytes that are not an index are rejected", () => {
     assert.equal(ArchiveIndex.decode(new Uint8Array(9)), undefined);
 });
--- a/packages/claims/src/lib/journal/ArchiveIndex.ts
+++ b/packages/claims/src/lib/journal/ArchiveIndex.ts
@@ -1,21 +1,21 @@
-/** Bytes of a key's hash that its fingerprint has; a double holds 6 of them exactly. */
+/** Bytes of a key's hash in its fingerprint. A double represents 6 bytes exactly. */
 const fingerprintBytes = 6;
 
 /**
- * The sorted fingerprints of the keys in an archive, 8 bytes each. It tells which of millions of keys may have an old
- * claim; the archive itself is read only for those.
+ * The sorted fingerprints of the keys in an archive, 8 bytes each. The index shows which of millions of keys may have
+ * an archived claim, so that the archive itself is read only for those.
  *
  * @internal
  */
 export class ArchiveIndex {
     private constructor(private readonly fingerprints: Float64Array) {}
 
-    /** Builds the index of some keys. */
+    /** Creates the index of some keys. */
     static of(keyHashes: readonly string[]): ArchiveIndex {
         return new ArchiveIndex(Float64Array.from(keyHashes, fingerprint).sort());
     }
 
-    /** Reads an index, or returns undefined if the bytes are none. */
+    /** Decodes an index, or returns undefined if the bytes are not an index. */
     static decode(bytes: Uint8Array): ArchiveIndex | undefined {
         if (bytes.length % Float64Array.BYTES_PER_ELEMENT !== 0) {
             return undefined;
@@ -26,12 +26,12 @@
         return new ArchiveIndex(Float64Array.from({ length }, (_, index) => read(index)));
     }
 
-    /** Keys in the archive. */
+    /** The number of keys in the archive. */
     get size(): number {
         return this.fingerprints.length;
     }
 
-    /** Writes the index as bytes. */
+    /** Encodes the index. */
     encode(): Uint8Array {
         const bytes = new Uint8Array(this.fingerprints.byteLength);
         const view = new DataView(bytes.buffer);
@@ -39,7 +39,9 @@
         return bytes;
     }
 
-    /** Whether the key with a fingerprint may be in the archive. Never wrong when it says no. */
+    /**
+     * Whether the archive may contain the key with a fingerprint. There are false positives, but no false negatives.
+     */
     mayContain(wanted: number): boolean {
         let low = 0;
         let high = this.fingerprints.length - 1;
@@ -60,7 +62,7 @@
     }
 }
 
-/** The fingerprint of a key's hash: 48 of its bits as a number. @internal */
+/** The fingerprint of a key's hash: its first 48 bits as a number. @internal */
 export function fingerprint(keyHash: string): number {
     return Buffer.from(keyHash, "base64url").readUIntBE(0, fingerprintBytes);
 }
--- a/packages/claims/src/lib/journal/Archiver.ts
+++ b/packages/claims/src/lib/journal/Archiver.ts
@@ -25,8 +25,9 @@
 const rowsPerDeletion = 100;
 
 /**
- * Moves the records of old segments to an archive in the object store, drops archives whose claims have all expired,
- * and deletes what is not needed any more. Every step may fail or be cut off; a later run, of any owner, goes on.
+ * Moves the records of old segments to an archive in the object store, discards archives whose claims have all expired,
+ * and deletes rows and objects that are no longer needed. Any step may fail or be interrupted; a later run, by any
+ * owner, resumes the work.
  *
  * @internal
  */
@@ -35,7 +36,7 @@
 
     constructor(private readonly options: ArchiverOptions) {}
 
-    /** Archives when enough segments have come together. Claims may be appended in the meantime. */
+    /** Archives the segments once there are enough of them. Claims may be appended concurrently. */
     async run(): Promise<void> {
         const { log, archiveAfter } = this.options;
         if (this.running || log.nextSegment - log.base.base.first < archiveAfter) {
@@ -70,7 +71,7 @@
         }
         const base = this.nextBase(from.base, { name, last, expiry: latestExpiry(records) });
         const replaced = await this.write(() => log.replaceBase(from, base, new Map([[name, index]])));
-        // When this failed the objects stay behind unused: a late copy of the write may still make them count.
+        // If this fails, the objects must not be deleted: a delayed write of the base row may still refer to them.
         return replaced.isOk;
     }
 
@@ -85,7 +86,7 @@
         };
     }
 
-    /** Deletes discarded archives, and takes those off the list that were deleted. */
+    /** Deletes discarded archives and removes the deleted ones from the list. */
     private async deleteArchives(): Promise<void> {
         const { log, objects } = this.options;
         const from = log.base;
@@ -103,7 +104,7 @@
         }
     }
 
-    /** Deletes every segment that an archive holds, also those that an earlier owner left behind. */
+    /** Deletes all archived segments, including those that an earlier owner failed to delete. */
     private async deleteSegments(): Promise<void> {
         const { table, partition, log } = this.options;
         for (;;) {
--- a/packages/claims/src/lib/journal/Batch.ts
+++ b/packages/claims/src/lib/journal/Batch.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * The calls that share one write.
+ * Calls that share one write.
  *
  * @internal
  */
@@ -36,8 +36,8 @@
 
     /** Adds a call, unless it needs no write, its key is in the batch already, or an archive must be read first. */
     add(call: PendingCall, end: (outcome: Outcome<Claim>) => void): void {
-        const waits = this.members.has(call.keyHash) || this.state.findArchive(call.keyHash) !== undefined;
-        if (waits || call.answer(this.state) !== undefined) {
+        const mustWait = this.members.has(call.keyHash) || this.state.findArchive(call.keyHash) !== undefined;
+        if (mustWait || call.answer(this.state) !== undefined) {
             return;
         }
         this.members.set(call.keyHash, { call, end });
--- a/packages/claims/src/lib/journal/ClaimJournal.history.test.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.history.test.ts
@@ -23,7 +23,7 @@
 const storeTimeout = 300;
 const day = 86_400_000;
 
-/** One owner's connection to the store: it can be paused, and lose or delay what passes. */
+/** One owner's connection to the store. It can be paused or cut, and can lose or delay calls. */
 class Connection {
     losesBefore = 0;
     losesAfter = 0;
@@ -90,7 +90,7 @@
     };
 }
 
-/** The agents as the claims see them: one process start runs a claim once and keeps its refusals. */
+/** Simulated agents. Each incarnation runs a claim at most once and never runs one that it has refused. */
 class Agents {
     readonly runs = new Map<string, number>();
     private readonly starts = new Map(targets.map(target => [target, 0]));
@@ -129,7 +129,7 @@
         return end;
     }
 
-    /** Drops every mark, as an agent does with old ones. */
+    /** Evicts all claims, as an agent does with old ones. */
     forget(): void {
         [...this.memory.keys()].forEach(id => this.forgotten.add(id));
         this.memory.clear();
@@ -199,10 +199,10 @@
     private readonly connections: Connection[] = [];
     private readonly journals: ClaimJournal[] = [];
     private nextOther = 100;
-    /** Every claim that anybody was granted, by key and id. */
+    /** All granted claims, by key and id. */
     private readonly granted = new Map<string, Map<string, Claim>>();
 
-    /** @param longWaits - Whether owners now and then wait long, in the middle of a batch or of archiving. */
+    /** @param longWaits - Whether owners sometimes wait long in the middle of a batch or of archiving. */
     constructor(seed: number, private longWaits: boolean) {
         this.random = seededRandom(seed);
         for (let owner = 0; owner < owners; owner++) {
@@ -235,7 +235,7 @@
                 this.agents.restart(step.target);
                 return;
             case "others":
-                // Claims of other keys push the earlier ones into archives.
+                // Claims of other keys cause the earlier ones to be archived.
                 for (let index = 0; index < step.count; index++) {
                     void this.journal(step.owner).acquire(request(this.nextOther++, this.agents.runner("a")));
                 }
@@ -250,7 +250,7 @@
         }
     }
 
-    /** Ends all faults; then every owner must answer again, and all must agree. */
+    /** Ends all faults. After that, every owner must grant claims again. */
     async settle(): Promise<void> {
         this.longWaits = false;
         this.table.faults.set({ down: false, stale: false });
@@ -298,7 +298,7 @@
         }
     }
 
-    /** Of all claims granted for a key, all but one must have been refused by their runner for good. */
+    /** At most one of the claims granted for a key may not have been refused by its runner. */
     private check(key: number, claim: Claim): void {
         const claims = this.granted.get(String(key)) ?? new Map<string, Claim>();
         this.granted.set(String(key), claims.set(claim.id, claim));
@@ -360,7 +360,7 @@
     }
 }
 
-/** A run in which an owner that was held up while it archived undid the archive of another. */
+/** A run in which an owner that is delayed while archiving could undo the archive of another owner. */
 const undoneArchive: Action[] = [
     callOf(0, 0),
     { type: "others", owner: 1, count: 2 },
@@ -380,7 +380,7 @@
     return { type: "call", key, owner, mover: 0, ...targets, refuses: false, dropped: false, think: 0 };
 }
 
-test("an archive that was undone once", () => run(undoneArchive, 1907839100, false));
+test("a delayed owner does not undo the archive of another owner", () => run(undoneArchive, 1907839100, false));
 
 test("no interleaving grants a key to two runners or runs it twice", async t => {
     const seed = Number(process.env["FC_SEED"] ?? 20261202);
--- a/packages/claims/src/lib/journal/ClaimJournal.test.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.test.ts
@@ -10,7 +10,7 @@
     return outcome?.isErr ? outcome.error.code.number : undefined;
 }
 
-test("claims that arrive together share a write, and writes keep to the rate", async () => {
+test("concurrent claims share a write, and the write rate is not exceeded", async () => {
     const site = new JournalSite();
     const journal = site.owner({}, 10);
     const calls: Promise<Outcome<Claim>>[] = [];
@@ -25,7 +25,7 @@
     assert.ok(site.table.faults.arrivals.write <= 10 * seconds + 1);
 });
 
-test("a claim after a pause is written at once", async () => {
+test("a claim after an idle period is written without delay", async () => {
     const site = new JournalSite();
     const journal = site.owner({}, 1);
     await site.wait(journal.acquire(request("1")));
@@ -35,7 +35,7 @@
     assert.ok(site.clock.now() - start <= 5);
 });
 
-test("a key with another digest is refused, in memory and while it waits", async () => {
+test("a key with another digest is refused, both while the first call waits and after it was recorded", async () => {
     const site = new JournalSite();
     const journal = site.owner();
     const calls = [journal.acquire(request("k")), journal.acquire(request("k", { digest: "other" }))];
@@ -64,7 +64,7 @@
     assert.ok((await site.wait(journal.acquire(request("2")))).isOk);
 });
 
-test("a process that has used up its share of writes makes claims wait, and refuses none that it can still record", async () => {
+test("claims wait for the write budget of the process, and none that can be recorded in time is refused", async () => {
     const site = new JournalSite();
     const { clock, table } = site;
     const client = new StoreClient({
@@ -127,7 +127,7 @@
     assert.equal(claimOf(await site.wait(paused.acquire(late))).runner.target, "a");
 });
 
-test("a claim is kept for its retention over any number of owners, and forgotten after it", async () => {
+test("a claim is kept for its retention across any number of owners, and dropped afterwards", async () => {
     const site = new JournalSite();
     const options = { archiveAfter: 2 };
     let journal = site.owner(options);
@@ -140,11 +140,11 @@
     const runner = { target: "b", incarnation: "1" };
     assert.equal(claimOf(await site.wait(journal.acquire(request("k", { runner })))).runner.target, "a");
     await site.clock.advanceAsync(60_001, 1000);
-    const anew = claimOf(await site.wait(journal.acquire(request("k", { runner }))));
-    assert.equal(anew.runner.target, "b");
+    const renewed = claimOf(await site.wait(journal.acquire(request("k", { runner }))));
+    assert.equal(renewed.runner.target, "b");
 });
 
-test("old segments and expired archives are deleted, and memory follows", async () => {
+test("old segments and expired archives are deleted, and memory use stays bounded", async () => {
     const site = new JournalSite();
     const journal = site.owner({ archiveAfter: 4 });
     for (let turn = 0; turn < 100; turn++) {
@@ -159,7 +159,7 @@
     assert.ok(journal.size <= 60, `${journal.size} claims`);
 });
 
-test("a duplicate of an old claim is answered from its archive, and refused while that cannot be read", async () => {
+test("a duplicate of an archived claim is answered from the archive, or refused if that cannot be read", async () => {
     const site = new JournalSite();
     const journal = site.owner({ archiveAfter: 2 });
     const ids: string[] = [];
@@ -182,7 +182,7 @@
     }
 });
 
-test("an old claim that is asked for while a write waits for its permit is not claimed anew", async () => {
+test("an archived claim that is requested while a write waits for its permit is not claimed again", async () => {
     const site = new JournalSite();
     const journal = site.owner({ archiveAfter: 2 }, 10);
     for (let turn = 0; turn < 10; turn++) {
@@ -198,7 +198,7 @@
     await site.wait(Promise.all(calls));
 });
 
-test("an owner that skips archived segments forgets what they may have changed", async () => {
+test("an owner that skips archived segments drops claims that those segments may have changed", async () => {
     const site = new JournalSite();
     const slow = site.owner({ archiveAfter: 100 });
     const first = claimOf(await site.wait(slow.acquire(request("k"))));
@@ -213,24 +213,24 @@
     assert.equal(claimOf(await site.wait(slow.acquire(request("k")))).id, moved.id);
 });
 
-test("an owner that is held up while it archives does not undo the archive of another", async () => {
+test("an owner that is delayed while archiving does not undo the archive of another owner", async () => {
     const site = new JournalSite();
     const waits = [0, 0, 0, 0, 500];
-    const heldUp = site.owner({ archiveAfter: 2, pace: () => waits.shift() ?? 0 });
-    await site.wait(heldUp.acquire(request("1")));
-    await site.wait(heldUp.acquire(request("2")));
+    const delayed = site.owner({ archiveAfter: 2, pace: () => waits.shift() ?? 0 });
+    await site.wait(delayed.acquire(request("1")));
+    await site.wait(delayed.acquire(request("2")));
     const other = site.owner({ archiveAfter: 2 });
     const claim = claimOf(await site.wait(other.acquire(request("3"))));
     await site.clock.advanceAsync(100, 5);
-    await site.wait(heldUp.acquire(request("4")));
+    await site.wait(delayed.acquire(request("4")));
     await site.clock.advanceAsync(1000, 5);
     const runner = { target: "b", incarnation: "1" };
-    for (const owner of [site.owner(), heldUp, other]) {
+    for (const owner of [site.owner(), delayed, other]) {
         assert.equal(claimOf(await site.wait(owner.acquire(request("3", { runner })))).id, claim.id);
     }
 });
 
-test("archiving that fails half-way loses no claim", async () => {
+test("archiving that fails part-way loses no claim", async () => {
     const site = new JournalSite();
     const journal = site.owner({ archiveAfter: 2 });
     for (let turn = 0; turn < 40; turn++) {
@@ -244,7 +244,7 @@
     assert.equal(next.size, 40);
 });
 
-test("a repeated move finds its own result, and a move of an old claim fails", async () => {
+test("a repeated move returns the same claim, and a move of an outdated claim fails", async () => {
     const site = new JournalSite();
     const journal = site.owner();
     const first = claimOf(await site.wait(journal.acquire(request("k"))));
@@ -257,7 +257,7 @@
     assert.notEqual(back.id, first.id);
 });
 
-test("a partition that is full or a name that is long is refused", async () => {
+test("a claim is refused if the partition is full or the runner's name is too long", async () => {
     const site = new JournalSite();
     const journal = site.owner({ maxClaims: 2, maxPending: 1 });
     const [first, second] = await site.wait(Promise.all(["1", "2"].map(key => journal.acquire(request(key)))));
@@ -272,7 +272,7 @@
     assert.ok((await site.wait(journal.acquire(request("5")))).isOk);
 });
 
-test("a row that cannot be read refuses claims and stops nothing else", async () => {
+test("a row that cannot be parsed makes claims fail without an exception", async () => {
     const site = new JournalSite();
     const write = { key: segmentKey(0, 1), value: { unexpected: true } };
     await site.table.commit({ writeId: "x", conditions: [], writes: [write] });
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -32,30 +32,30 @@
     readonly clock: Clock;
     readonly random: Random;
     /**
-     * Takes a permit to write and returns the milliseconds to wait before using it. It holds the rate of writes; claims
+     * Takes a write permit and returns the milliseconds to wait before using it. This limits the rate of writes; claims
      * that arrive during the wait share the write.
      */
     readonly pace: () => number;
     /**
-     * Asks the processes that may know claims which the store has lost. By default nobody, which is right only where no other
-     * process records or runs claims.
+     * Collects the claims that other processes and the runners know but the store may have lost. The default collects
+     * none, which is correct only if no other process records or runs claims.
      */
     readonly collectReports?: CollectReports;
-    /** Runs after each look for lost claims. */
+    /** Runs after each attempt to recover lost claims. */
     readonly onReclaim?: (reclaim: Reclaim) => void;
-    /** Milliseconds after which a call ends as `claimUnavailable`. */
+    /** Milliseconds after which a waiting call fails with `claimUnavailable`. */
     readonly callTimeout?: number;
-    /** Calls that may wait at the same time. */
+    /** Waiting calls at most; more are refused. */
     readonly maxPending?: number;
     /** Claims in one segment at most. */
     readonly maxBatch?: number;
-    /** Claims known at most; more are refused. An old one takes 8 bytes. */
+    /** Claims of the partition at most; more are refused. An archived claim takes 8 bytes of memory. */
     readonly maxClaims?: number;
-    /** Segments after which they are moved to an archive. */
+    /** Segments after which the segments are moved to an archive. */
     readonly archiveAfter?: number;
-    /** Rows asked for in one scan. */
+    /** Rows requested in one scan. */
     readonly pageSize?: number;
-    /** Milliseconds to refuse new claims after the store refused one, unless it names a time itself. */
+    /** Milliseconds for which new claims are refused after the store refused a write without a `retryAfter`. */
     readonly refusalPause?: number;
 }
 
@@ -71,16 +71,16 @@
     refusalPause: 250,
 };
 
-/** Characters of a target's or an incarnation's name that a record may hold. */
+/** Characters in a target's or an incarnation's name at most. */
 const maxNameLength = 256;
 
-/** Bounds of the wait after a failure whose outcome is unknown, in milliseconds. */
+/** Bounds in milliseconds of the back-off after a write with an unknown outcome. */
 const retryBounds = { base: 20, cap: 500 };
 
 /**
- * The claims of one partition. It appends claims to the partition's chain of segments, many in one write, and answers
- * duplicates from memory. Any number of processes may run a journal of the same partition at the same time: a segment
- * number can be written once, and only after all segments before it have been read.
+ * The claims of one partition. The journal appends claims to the partition's chain of segments, many in one write, and
+ * answers duplicates from memory. Any number of processes may run a journal of the same partition concurrently: a
+ * segment number can be written only once, and only by a process that has read all segments before it.
  *
  * @public
  */
@@ -89,7 +89,7 @@
     private readonly log: PartitionLog;
     private readonly archiver: Archiver;
     private readonly pending: PendingCalls;
-    /** Batches whose outcome is not known yet; at most one of them can become the next segment. */
+    /** Batches with an unknown outcome. At most one of them can become the next segment. */
     private undecided: Batch[] = [];
     private isUpToDate = false;
     private draining = false;
@@ -104,17 +104,17 @@
         this.pending = new PendingCalls(clock, callTimeout);
     }
 
-    /** The name under which the partition counts generations. */
+    /** The name of the partition's generation series. */
     get series(): string {
         return this.log.state.series;
     }
 
-    /** Claims that are known. */
+    /** The number of claims in the partition, archived ones included. */
     get size(): number {
         return this.log.state.size;
     }
 
-    /** Calls that wait for a write. */
+    /** The number of calls that wait for a write. */
     get waiting(): number {
         return this.pending.size;
     }
@@ -129,22 +129,22 @@
     move(claim: Claim, request: ClaimRequest): Promise<Outcome<Claim>> {
         const call = PendingCall.move(claim, request);
         if (call === undefined) {
-            return Promise.resolve(Result.err(failure(requestCodes.malformed, "the claim is of another request")));
+            return Promise.resolve(Result.err(failure(requestCodes.malformed, "the claim belongs to another request")));
         }
         if (hasLongName(request.runner)) {
             return Promise.resolve(nameTooLong());
         }
-        // Moves are rare, and this owner may have missed an earlier one.
+        // Moves are rare, and this owner may have missed an earlier one, so it reads the newest segments first.
         this.isUpToDate = false;
         return this.enqueue(call);
     }
 
-    /** The claims that were granted lately, as far as this process knows. */
+    /** The recently granted claims that this process knows. */
     report(): readonly ReportedClaim[] {
         return this.log.reports;
     }
 
-    /** Reads the partition, so that the first claim need not wait for that. */
+    /** Loads the partition, so that the first claim need not wait for it. */
     async load(): Promise<Outcome<void>> {
         if (this.draining || this.isCurrent) {
             return Result.ok<void, never>(undefined);
@@ -156,7 +156,7 @@
         return outcome;
     }
 
-    /** Whether nothing hints that the store holds more than what was read, or less than it acknowledged. */
+    /** Whether nothing suggests that the store has segments not read yet, or lacks claims that it acknowledged. */
     private get isCurrent(): boolean {
         return this.isUpToDate && this.log.isRecovered;
     }
@@ -179,7 +179,7 @@
             return Promise.resolve(unavailable("the store refuses writes", pause));
         }
         if (this.pending.size >= maxPending) {
-            return Promise.resolve(unavailable("too many claims wait for a write", callTimeout));
+            return Promise.resolve(unavailable("too many calls wait for a write", callTimeout));
         }
         const outcome = this.pending.add(call);
         void this.drain();
@@ -198,7 +198,7 @@
         this.draining = false;
     }
 
-    /** Brings the waiting calls one write further. */
+    /** Answers the waiting calls from memory and archives, then writes one batch for the others. */
     private async step(): Promise<Outcome<void>> {
         if (!this.isCurrent) {
             const refreshed = await this.refresh();
@@ -215,7 +215,7 @@
         return this.write();
     }
 
-    /** Reads the archives that may hold the claims of waiting calls; a call whose archive cannot be read ends. */
+    /** Reads the archives that may hold the claims of waiting calls. A call whose archive cannot be read fails. */
     private async readArchives(): Promise<void> {
         const { log, pending } = this;
         for (
@@ -255,7 +255,8 @@
         const { era } = this.log;
         const outcome = await this.log.refresh();
         if (this.log.era !== era) {
-            // What was sent in an earlier era is not granted: another owner may not have seen it when it settled the partition.
+            // Batches sent in an earlier era are not granted: the owner that recovered the partition may not have seen
+            // them.
             this.undecided = [];
         }
         if (outcome.isErr) {
@@ -275,7 +276,10 @@
         return written;
     }
 
-    /** Looks for the claims that a copy of the store lacks, and writes them again before anything else is granted or told. */
+    /**
+     * Collects the claims that a restored copy of the store lacks and rewrites them before any claim is granted or
+     * returned.
+     */
     private async recover(): Promise<Outcome<void>> {
         const { collectReports, onReclaim } = this.options;
         const { log: { era, state: { series } } } = this;
@@ -311,7 +315,7 @@
         return Result.ok<void, never>(undefined);
     }
 
-    /** A segment number has been decided: a batch that was written is granted, the others can never be written. */
+    /** Resolves the undecided batches: those that were written are granted, the others can never be written. */
     private decide(writeIds: readonly string[]): void {
         const written = new Set(writeIds);
         this.undecided.filter(({ writeId }) => written.has(writeId)).forEach(batch => batch.grant());
@@ -323,7 +327,7 @@
             this.failures = 0;
             return;
         }
-        // A call that the local budget held back has changed nothing.
+        // A write that the local budget held back was never sent.
         this.isUpToDate &&= outcome.error.code === platformCodes.budgetExhausted;
         if (wasRefused(outcome.error)) {
             this.refuseAll(outcome.error);
@@ -332,7 +336,7 @@
         await sleep(this.options.clock, this.retryWait(outcome.error));
     }
 
-    /** Waits for the local budget as long as it asks for, and otherwise longer with each failure. */
+    /** The wait that the local budget asks for, otherwise a back-off that increases with each failure. */
     private retryWait({ code, retryAfter }: Failure): number {
         if (code === platformCodes.budgetExhausted) {
             return Math.min(retryBounds.cap, retryAfter ?? retryBounds.cap);
@@ -358,10 +362,15 @@
 }
 
 function nameTooLong(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.malformed, "the runner's name is too long"));
+    return Result.err(
+        failure(
+            requestCodes.malformed,
+            `the runner's target or incarnation is longer than ${maxNameLength} characters`,
+        ),
+    );
 }
 
-/** Whether the store is down for all that is known, or lost claims cannot be looked for, so that waiting on has no use. */
+/** Whether the store seems to be down or lost claims cannot be recovered, so that waiting calls fail at once. */
 function wasRefused({ code }: Failure): boolean {
     return code === platformCodes.storeUnavailable || code === requestCodes.claimUnavailable;
 }
--- a/packages/claims/src/lib/journal/ClaimJournals.test.ts
+++ b/packages/claims/src/lib/journal/ClaimJournals.test.ts
@@ -6,8 +6,8 @@
 import { ClaimJournals } from "./ClaimJournals.js";
 import { claimOf, request } from "./testing/JournalSite.js";
 
-// Another process has come to serve the partition, and the store comes back from a copy before that one has read it.
-test("claims of a partition that is served elsewhere are still told for some minutes", async () => {
+// Covers a store that is restored from a copy after a partition got another owner and before that owner has read it.
+test("claims of a partition that another process now serves are still reported for some minutes", async () => {
     const clock = new ManualClock();
     const table = new MemoryTableStore({ clock });
     const journals = new ClaimJournals({
--- a/packages/claims/src/lib/journal/ClaimJournals.ts
+++ b/packages/claims/src/lib/journal/ClaimJournals.ts
@@ -15,11 +15,11 @@
     readonly objects: ObjectStore;
     readonly clock: Clock;
     readonly random: Random;
-    /** Partitions of the key space. The same in every process, and never changed while claims are remembered. */
+    /** Partitions of the key space. Must be the same in every process, and must not change while claims are kept. */
     readonly partitions?: number;
-    /** Writes per second that the claims of all partitions may take together. */
+    /** Writes per second for the claims of all partitions together. */
     readonly writesPerSecond?: number;
-    /** Settings of each partition's journal. */
+    /** Options of each partition's journal. */
     readonly journal?: Partial<ClaimJournalOptions>;
 }
 
@@ -28,20 +28,23 @@
     writesPerSecond: 200,
 };
 
-/** Milliseconds for which claims of a partition that is served elsewhere can still be told; longer than any copy of the store is old. */
+/**
+ * Milliseconds for which the claims of a partition that another process now serves are still reported. Longer than the
+ * age of any copy from which the store is restored.
+ */
 const retiredRetention = 600_000;
 
-/** What is left of a journal that was dropped. */
+/** The reportable claims of a journal that was closed. */
 interface RetiredJournal {
     readonly series: string;
     readonly claims: readonly ReportedClaim[];
-    /** The clock's time from which it is forgotten. */
+    /** Clock time in milliseconds from which the claims are dropped. */
     readonly expiry: number;
 }
 
 /**
- * The journals of the partitions that this process serves, opened when they are first asked for. They share a rate of
- * writes in proportion to their number, so that one busy partition may use what the others leave.
+ * The journals of the partitions that this process serves, opened on first use. They share one write rate, which is
+ * proportional to the number of open journals, so that a busy partition may use the share of idle ones.
  *
  * @public
  */
@@ -56,12 +59,12 @@
         this.bucket = new TokenBucket({ clock: options.clock, rate: this.rate(1) });
     }
 
-    /** Claims in memory. */
+    /** The number of claims in all open partitions. */
     get size(): number {
         return [...this.journals.values()].reduce((sum, journal) => sum + journal.size, 0);
     }
 
-    /** Partitions of the key space. */
+    /** The number of partitions of the key space. */
     get partitions(): number {
         return this.options.partitions;
     }
@@ -88,12 +91,12 @@
             .filter(({ generation }) => generation < before);
     }
 
-    /** Reads a partition that this process is about to serve. */
+    /** Loads a partition that this process is about to serve. */
     load(partition: number): Promise<Outcome<void>> {
         return this.journal(partition).load();
     }
 
-    /** Drops the memory of every partition that this process need not serve any more. Calls that wait still end. */
+    /** Closes the partitions that this process no longer serves, except those with waiting calls. */
     keepOnly(partitions: ReadonlySet<number>): void {
         for (const [partition, journal] of this.journals) {
             if (!partitions.has(partition) && journal.waiting === 0) {
--- a/packages/claims/src/lib/journal/ClaimRecord.ts
+++ b/packages/claims/src/lib/journal/ClaimRecord.ts
@@ -3,7 +3,7 @@
 import { type Claim, type ClaimRequest, type Runner } from "../Claims.js";
 
 /**
- * A claim as a partition keeps it.
+ * A claim as a partition stores it.
  *
  * @internal
  */
@@ -12,14 +12,18 @@
     readonly keyHash: string;
     /** The hash of the request's digest. */
     readonly digest: string;
-    /** Grows with each record of the key, and from era to era of the store. */
+    /** Increases with each record of the key, and with each era of the store. */
     readonly generation: number;
     readonly runner: Runner;
-    /** Partition time in milliseconds from which the claim may be forgotten. */
+    /** Partition time in milliseconds from which the claim may be dropped. */
     readonly expiry: number;
 }
 
-/** Records as they are stored. Runners are listed once, since a few hundred of them recur in all records. @internal */
+/**
+ * Records as they are stored. Each runner is listed once, since a few hundred runners recur in all records.
+ *
+ * @internal
+ */
 export const recordBlockSchema = z.object({
     runners: z.array(z.object({ target: z.string(), incarnation: z.string() })),
     records: z.array(z.object({
@@ -51,26 +55,26 @@
     return { records: records.map(record => ({ ...record, runner: indexOf(record.runner) })), runners };
 }
 
-/** Unpacks records. Records with one runner share one object. @internal */
+/** Unpacks records. Records of the same runner share one runner object. @internal */
 export function unpackRecords({ runners, records }: RecordBlock): ClaimRecord[] {
     return records.map(record => {
         const runner = runners[record.runner];
         if (runner === undefined) {
-            throw new Error("a record names a runner that its block does not list");
+            throw new Error("a record refers to a runner that its block does not list");
         }
         return { ...record, runner };
     });
 }
 
-/** A string that is equal for equal runners only. @internal */
+/** A string that identifies a runner. @internal */
 export function runnerName({ target, incarnation }: Runner): string {
     return JSON.stringify([target, incarnation]);
 }
 
 /**
- * The claim that a caller gets for a record.
+ * The claim to return to a caller for a record.
  *
- * @param series - The series of the partition's generations.
+ * @param series - The partition's generation series.
  *
  * @internal
  */
--- a/packages/claims/src/lib/journal/DisplacedClaims.ts
+++ b/packages/claims/src/lib/journal/DisplacedClaims.ts
@@ -4,73 +4,79 @@
 import { type ClaimRecord, runnerName } from "./ClaimRecord.js";
 import { type PartitionState } from "./PartitionState.js";
 
-/** A partition as far as it matters here. @internal */
+/** The part of a partition's state that {@link LostClaims} uses. @internal */
 export interface PartitionView extends Pick<PartitionState, "find" | "findArchive"> {
-    /** The lowest generation of a claim that was granted since the store came back, where the store tells its era. */
+    /** The lowest generation granted since the store was restored; absent if the store reports no era. */
     readonly firstGeneration?: number;
     readonly time: { now(): number; };
 }
 
-/** Milliseconds for which a claim is kept whose retention is not known: as long as callers may repeat a request by default. */
+/**
+ * Milliseconds for which a claim of unknown retention is kept: the default time within which callers may repeat a
+ * request.
+ */
 const defaultRetention = 86_400_000;
 
 /**
- * Claims that the store has acknowledged and may have lost with a copy, while the partition is read anew. Those that have no other
- * in their place are written again.
+ * Claims that the store acknowledged and may have lost when it was restored from an older copy. Once the partition has
+ * been reloaded, those that are missing and have not been replaced by a newer claim are written again.
  *
  * @internal
  */
 export class LostClaims {
     private claims: readonly ReportedClaim[] = [];
 
-    /** The claims that are still to be looked for. */
+    /** The claims that may still be missing from the store. */
     get reports(): readonly ReportedClaim[] {
         return this.claims;
     }
 
-    /** @param records - In the order in which they were written. */
+    /** @param records - The claims, in the order in which they were written. */
     add(records: readonly ClaimRecord[]): void {
         this.addReports(records.map(record => ({ ...record, state: "granted" })));
     }
 
-    /** Adds what processes reported. */
+    /** Adds claims that processes reported. */
     addReports(reports: readonly ReportedClaim[]): void {
         this.claims = [...this.claims, ...reports];
     }
 
     /**
-     * What is still to be written, at most so many. A record counts as written once the state holds it.
+     * The next records to write again. A record counts as written once the state holds it.
      *
-     * @param state - The partition as it was read anew.
+     * @param state - The state of the reloaded partition.
+     * @param limit - The number of records at most.
      */
     next(state: PartitionView, limit: number): readonly ClaimRecord[] {
         const lost = selectPrevailingClaims(this.claims).filter(claim => this.isLost(claim, state));
         return lost.slice(0, limit).map(claim => recordOf(claim, state.time.now()));
     }
 
-    /** Forgets them, once the store holds what is left of them. */
+    /** Discards the claims, once the store holds all that were lost. */
     clear(): void {
         this.claims = [];
     }
 
     private isLost(claim: ReportedClaim, state: PartitionView): boolean {
-        // The state holds no expired claim, so one that was written would look lost for ever.
+        // The state never returns an expired claim, so a rewritten one would appear lost forever.
         if (claim.expiry !== undefined && claim.expiry < state.time.now()) {
             return false;
         }
         const found = state.find(claim.keyHash);
         if (found === undefined) {
-            // Archives are read for these keys before; one that is left holds an earlier claim of the key at most.
+            // The archives of these keys have been read; one that still matches holds at most an earlier claim of the
+            // key.
             return (state.findArchive(claim.keyHash)?.last ?? 0) < claim.generation;
         }
         if (nameOf(found) === nameOf(claim) || !this.predatesCopy(found, state)) {
             return false;
         }
-        // Of two claims with one generation the one that is found was written in the place of the other, and never granted.
+        // If both claims have the same generation, the stored one was written in place of the lost one and never
+        // granted.
         return claim.state === "ran" || found.generation <= claim.generation;
     }
 
-    /** Whether a claim was there before the copy was made; any other was granted since, and stands. */
+    /** Whether a stored claim predates the copy. Any other claim was granted after the restore and prevails. */
     private predatesCopy(found: ClaimRecord, { firstGeneration = 0 }: PartitionView): boolean {
         if (found.generation < firstGeneration) {
             return true;
--- a/packages/claims/src/lib/journal/PartitionClock.ts
+++ b/packages/claims/src/lib/journal/PartitionClock.ts
@@ -1,9 +1,9 @@
 import { type Clock } from "@waxwingspar/utils";
 
 /**
- * The time of a partition in milliseconds. It is carried from owner to owner in the segments and grows only while an
- * owner watches it on its monotonic clock, so it never runs ahead of real time, whatever the wall clocks do. A claim
- * can therefore be kept longer than asked, never shorter.
+ * The time of a partition in milliseconds. Owners pass it on in the segments, and it advances only with the monotonic
+ * clock of an owner that observes it, so it never runs ahead of real time, whatever the wall clocks do. A claim can
+ * therefore be kept longer than requested, but never shorter.
  *
  * @internal
  */
@@ -19,7 +19,7 @@
         return this.seen + (this.clock.now() - this.seenAt);
     }
 
-    /** Takes over a time read from the store; it was current some time before it was read. */
+    /** Adopts a partition time read from the store if it is ahead. It was current some time before it was read. */
     observe(time: number): void {
         if (time > this.now()) {
             this.seen = time;
--- a/packages/claims/src/lib/journal/PartitionLog.ts
+++ b/packages/claims/src/lib/journal/PartitionLog.ts
@@ -34,7 +34,7 @@
     readonly table: TableStore;
     readonly objects: ObjectStore;
     readonly clock: Clock;
-    /** Rows asked for in one scan. */
+    /** Rows requested in one scan. */
     readonly pageSize: number;
 }
 
@@ -52,13 +52,13 @@
 
 /** How a segment is appended. */
 interface AppendOptions {
-    /** Whether all claims that the store lost are written again with this segment. */
+    /** Whether this segment completes the recovery of lost claims. */
     readonly marksRecovered?: boolean;
 }
 
 /**
- * The chain of segments of one partition, as one owner sees it. A segment can be written only by an owner that has
- * read all segments before it, in the era of the store that the partition was settled in.
+ * The chain of segments of one partition, as one owner sees it. A segment can be written only by an owner that has read
+ * all segments before it, in the same era of the store in which the partition's lost claims were recovered.
  *
  * @internal
  */
@@ -93,29 +93,30 @@
     }
 
     /**
-     * False while claims may be missing that the store had acknowledged, or claims be there that were never granted: nothing may be
-     * granted or told then.
+     * False while the store may lack claims that it acknowledged, or hold claims that were never granted. No claim may
+     * be granted or returned then.
      */
     get isRecovered(): boolean {
         return this.recoveredEra.isCurrent && this.recoveredEra.wasRecovered;
     }
 
-    /** The claims that this owner knows to be granted and that a copy of the store may lack. */
+    /** The granted claims that this owner knows and that a copy of the store may lack. */
     get reports(): readonly ReportedClaim[] {
         const granted = this.granted().map((record): ReportedClaim => ({ ...record, state: "granted" }));
         return [...this.lostClaims.reports, ...granted];
     }
 
     /**
-     * Reads what other owners have written since, or everything where the store has come back from a copy. It reads on until a
-     * page shows the base row unchanged, so that it does not miss segments that are archived meanwhile.
+     * Reads the segments that other owners have written since, or the whole partition if the store was restored from a
+     * copy. Reading continues until a page shows the base row unchanged, so that segments archived during the read are
+     * not missed.
      *
      * @returns The write ids of the segments that were read.
      */
     async refresh(): Promise<Outcome<string[]>> {
         for (;;) {
             this.advanceEra();
-            // Read first, so that all segments that it speaks of are among those read after it.
+            // The marker is read first, so that all segments written before it are among those read next.
             const marker = await this.recoveredEra.read();
             if (marker.isErr) {
                 return Result.err(marker.error);
@@ -124,7 +125,7 @@
             if (read.isErr) {
                 return read;
             }
-            // Answers of two eras do not fit together.
+            // Reads from two eras must not be combined.
             if (this.recoveredEra.isCurrent) {
                 this.recoveredEra.use(marker.value);
                 return read;
@@ -132,7 +133,10 @@
         }
     }
 
-    /** What was read in an earlier era is read anew; what was granted in it is kept, to be written again if it is lost. */
+    /**
+     * Discards rows read in an earlier era, but keeps the claims granted in it, to write them again if the store lost
+     * them.
+     */
     private advanceEra(): void {
         if (!this.recoveredEra.isCurrent) {
             this.lostClaims.add(this.granted());
@@ -145,8 +149,8 @@
     }
 
     /**
-     * The records of recent segments, of each key the last. While the partition was not settled, its rows may hold claims that were
-     * never granted.
+     * The last record of each key in the recent segments. Empty while the partition was not recovered, since its rows
+     * may then hold claims that were never granted.
      */
     private granted(): readonly ClaimRecord[] {
         if (!this.recoveredEra.wasRecovered) {
@@ -169,7 +173,7 @@
             }
             more = page.value === "gap" ? await this.readBase() : page.map(() => true);
             if (more.isOk && !more.value) {
-                // An old copy of the rows; the conditions of the next write will tell.
+                // The read was stale; if segments are missing, the conditions of the next write fail.
                 return Result.ok(writeIds);
             }
         }
@@ -177,8 +181,8 @@
     }
 
     /**
-     * Writes the next segment. When it succeeds the records are part of the state; when the answer is lost, or tells of a
-     * new era, {@link PartitionLog.refresh} shows what became of it.
+     * Writes the next segment. If it succeeds, the records become part of the state. If the response is lost or shows a
+     * new era, {@link PartitionLog.refresh} finds out whether the segment was written.
      */
     async append(
         writeId: string,
@@ -210,8 +214,9 @@
     }
 
     /**
-     * A store that came back from a copy lacks the newest segments. A segment written behind the gap would be hidden from other
-     * owners, which then claim lost keys for other runners; so each is written on condition that the one before it is there.
+     * A store that was restored from a copy lacks the newest segments. Other owners would not see a segment written
+     * after the gap and would claim the lost keys for other runners. Each segment is therefore written on condition
+     * that the previous one exists.
      */
     private previousSegmentConditions(
         before: KnownSegment | undefined,
@@ -221,22 +226,22 @@
             : [{ key: segmentKey(this.options.partition, before.number), version: before.version }];
     }
 
-    /** Adds claims that processes know of an earlier era of the store. */
+    /** Adds claims of earlier eras of the store that processes reported. */
     addReports(reports: readonly ReportedClaim[]): void {
         this.lostClaims.addReports(reports);
     }
 
-    /** Claims that a copy of the store lacks, and that are to be appended: so many at most. */
+    /** The next claims, up to a limit, that the restored store lacks and that must be appended. */
     nextLost(limit: number): readonly ClaimRecord[] {
         return this.lostClaims.next(this.state, limit);
     }
 
-    /** Forgets what processes knew of earlier eras, once the store holds it. */
+    /** Discards the reported claims of earlier eras, once the store holds them. */
     clearLost(): void {
         this.lostClaims.clear();
     }
 
-    /** Reads what archives hold of the keys that displaced claims may be written again for. */
+    /** Loads the archived claims of the keys whose claims may have to be written again. */
     async loadLostFromArchives(): Promise<Outcome<void>> {
         const keyHashes = this.lostClaims.reports.map(({ keyHash }) => keyHash);
         for (const keyHash of keyHashes) {
@@ -251,7 +256,7 @@
         return Result.ok<void, never>(undefined);
     }
 
-    /** Reads from an archive what it holds of some keys. */
+    /** Loads the claims of some keys from an archive. */
     async loadArchived(archive: Archive, keyHashes: readonly string[]): Promise<Outcome<void>> {
         const records = await loadRecords(this.options.objects, archive.name);
         if (records.isErr) {
@@ -263,11 +268,11 @@
     }
 
     /**
-     * Replaces the base row, on condition that nobody else has.
+     * Replaces the base row, on condition that no other owner has.
      *
-     * @param from - The base row from which the new one was made. It need not be the last that was read: another owner's
-     * may have been read since, and must not be overwritten.
-     * @param indexes - The indexes of the archives that the new one adds.
+     * @param from - The base row from which the new one was derived. It need not be the one last read: a base row that
+     * another owner has written since may have been read, and must not be overwritten.
+     * @param indexes - The indexes of the archives that the new base row adds.
      */
     async replaceBase(
         from: VersionedBase,
@@ -289,8 +294,8 @@
     }
 
     /**
-     * Deletes rows of segments that the base row says are archived. A store that came back from a copy may hold another base row and
-     * new segments under the same numbers; none of those is deleted.
+     * Deletes segments that are archived according to the base row. A store that was restored from a copy may hold
+     * another base row and new segments with the same numbers; those are not deleted.
      */
     async deleteRows(keys: readonly string[]): Promise<Outcome<void>> {
         const outcome = await this.recoveredEra.commit({
@@ -301,7 +306,7 @@
         return outcome.map(() => undefined);
     }
 
-    /** Takes over a base row unless a newer one is known; false if the index of one of its archives is missing. */
+    /** Adopts a base row unless a newer one is known. Returns false if the index of one of its archives is missing. */
     private adopt(version: number, base: Base, indexes: ReadonlyMap<string, ArchiveIndex>): boolean {
         if (version <= this.known.version) {
             return true;
@@ -314,13 +319,13 @@
         return complete;
     }
 
-    /** Reads the base row by itself, and says whether it had changed. */
+    /** Reads the base row and returns whether it changed. */
     private async readBase(): Promise<Outcome<boolean>> {
         const row = await this.options.table.get(baseKey(this.options.partition));
         return row.isErr ? Result.err(row.error) : this.adoptBase(row.value);
     }
 
-    /** Takes over a base row if it is newer, with the archives that are not known yet. */
+    /** Adopts a base row if it is newer, and loads the indexes of archives that are not known yet. */
     private async adoptBase(row: Row): Promise<Outcome<boolean>> {
         if (row.version <= this.known.version) {
             return Result.ok(false);
@@ -332,7 +337,7 @@
         const base = read.value;
         this.state.time.observe(base.time);
         const unknown = base.archives.filter(({ name }) => !this.state.hasIndex(name));
-        // A base row that came back with a copy may name archives that were deleted once all their claims had expired.
+        // A base row of a restored copy may name archives that were deleted after all their claims had expired.
         const now = this.state.time.now();
         const expired = unknown.filter(({ expiry }) => expiry < now);
         const needed = unknown.filter(({ expiry }) => expiry >= now);
@@ -343,10 +348,10 @@
         const empty = expired.map(({ name }) => [name, ArchiveIndex.of([])] as const);
         return this.adopt(row.version, base, new Map([...loaded.value, ...empty]))
             ? Result.ok(true)
-            : Result.err(failure(platformCodes.storeUnknown, "the archives changed while they were read"));
+            : Result.err(failure(platformCodes.storeUnknown, "the archives changed while their indexes were read"));
     }
 
-    /** Reads a page of segments and tells how to go on. The base row sorts after the segments. */
+    /** Reads a page of segments and returns how to continue. The base row sorts after the segments. */
     private async readPage(writeIds: string[]): Promise<Outcome<"end" | "more" | "gap">> {
         const { table, partition, pageSize } = this.options;
         const after = segmentKey(partition, this.state.lastSegment);
--- a/packages/claims/src/lib/journal/PartitionState.test.ts
+++ b/packages/claims/src/lib/journal/PartitionState.test.ts
@@ -5,7 +5,7 @@
 import { type ClaimRecord } from "./ClaimRecord.js";
 import { PartitionState } from "./PartitionState.js";
 
-/** A key hash with a given first and last byte; those with one first byte share a fingerprint. */
+/** A key hash with a given first and last byte. Hashes with the same first byte share a fingerprint. */
 function hash(first: number, last: number): string {
     return Buffer.from([first, 0, 0, 0, 0, 0, ...Array<number>(9).fill(0), last]).toString("base64url");
 }
@@ -14,7 +14,7 @@
     return { keyHash, digest: "d", generation, runner: { target: "a", incarnation: "1" }, expiry: 1000 };
 }
 
-test("a fingerprint that two keys share hides neither from an older archive", () => {
+test("a fingerprint collision in a newer archive does not hide a key in an older one", () => {
     const wanted = hash(1, 1);
     const state = new PartitionState(new ManualClock(), "p0");
     const archives = [{ name: "old", last: 10, expiry: 1000 }, { name: "new", last: 20, expiry: 1000 }];
@@ -33,7 +33,7 @@
     assert.equal(state.find(wanted)?.generation, 7);
 });
 
-test("what an archive holds is not taken in once a newer archive may hold more", () => {
+test("an archived claim is not applied once a newer archive may hold the key", () => {
     const wanted = hash(1, 1);
     const state = new PartitionState(new ManualClock(), "p0");
     const old = { name: "old", last: 10, expiry: 1000 };
--- a/packages/claims/src/lib/journal/PartitionState.ts
+++ b/packages/claims/src/lib/journal/PartitionState.ts
@@ -11,8 +11,8 @@
     readonly runner: Runner;
     readonly expiry: number;
     /**
-     * The segment that holds it, or the last one of its archive. The generation does not tell: a claim that was written again after a
-     * copy of the store lost it keeps its own.
+     * The segment that holds the claim, or the last segment of its archive. It cannot be derived from the generation,
+     * since a claim that was written again after the store lost it keeps its generation.
      */
     readonly segment: number;
 }
@@ -22,12 +22,12 @@
     readonly index: ArchiveIndex;
 }
 
-/** Milliseconds between two passes over all claims. */
+/** Milliseconds between two sweeps for expired claims. */
 const sweepInterval = 30_000;
 
 /**
- * What an owner knows of a partition: every claim up to a segment number. Recent claims are held whole; of those that
- * only archives hold it has fingerprints, and takes in the few that are asked for again.
+ * An owner's view of a partition: every claim up to a segment number. Recent claims are held in memory. Claims that
+ * only archives hold are known by their fingerprints, and are loaded when they are requested again.
  *
  * @internal
  */
@@ -36,28 +36,28 @@
     private readonly claims = new Map<string, KeptClaim>();
     private readonly runners = new Map<string, Runner>();
     private recentKeys: string[] = [];
-    /** The newest first. */
+    /** Newest first. */
     private archives: IndexedArchive[] = [];
-    /** Archives and keys whose fingerprint is in the archive without the key being there. */
+    /** Pairs of an archive and a key that is not in it although the key's fingerprint is. */
     private readonly falsePositives = new Set<string>();
-    /** Every claim of this segment or a later one is held whole. */
+    /** All claims of this segment and later ones are held in memory. */
     private loadedFrom = 1;
     private last = 0;
     private nextSweep = 0;
-    /** The lowest generation of a claim that is granted now. */
+    /** The lowest generation of a claim granted in the current era of the store. */
     firstGeneration = 0;
 
-    /** @param series - The name under which this partition counts generations. */
+    /** @param series - The name of the partition's generation series. */
     constructor(clock: Clock, readonly series: string) {
         this.time = new PartitionClock(clock);
     }
 
-    /** The number of the last segment that is known, with all before it. */
+    /** The number of the last segment read; all segments before it have been read, too. */
     get lastSegment(): number {
         return this.last;
     }
 
-    /** Claims that are known. */
+    /** The number of claims, archived ones included. */
     get size(): number {
         const archived = this.archives.filter(({ archive }) => archive.last < this.loadedFrom);
         return archived.reduce((sum, { index }) => sum + index.size, this.claims.size);
@@ -68,13 +68,13 @@
         return this.archives.some(({ archive }) => archive.name === name);
     }
 
-    /** The claim of a key, unless it has expired or {@link PartitionState.findArchive} names an archive. */
+    /** The claim of a key, unless it has expired or {@link PartitionState.findArchive} returns an archive. */
     find(keyHash: string): ClaimRecord | undefined {
         const kept = this.claims.get(keyHash);
         return kept === undefined || kept.expiry < this.time.now() ? undefined : recordOf(keyHash, kept);
     }
 
-    /** The newest archive that may hold the claim of a key which is not held whole. */
+    /** The newest archive that may hold the claim of a key, if the claim is not held in memory. */
     findArchive(keyHash: string): Archive | undefined {
         if (this.claims.has(keyHash)) {
             return undefined;
@@ -88,7 +88,7 @@
         return place?.archive;
     }
 
-    /** Takes in what an archive holds of a key. */
+    /** Applies the claim that an archive holds for a key, or its absence. */
     applyArchived(archive: Archive, keyHash: string, record: ClaimRecord | undefined): void {
         if (this.findArchive(keyHash)?.name !== archive.name) {
             return;
@@ -114,7 +114,7 @@
         this.time.observe(time);
     }
 
-    /** The records of segments that no archive holds yet; of a key with several, the last. */
+    /** The last record of each key in the segments that no archive holds yet. */
     recent(): ClaimRecord[] {
         return [...new Set(this.recentKeys)].flatMap(keyHash => {
             const kept = this.claims.get(keyHash);
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Takes over a base row.
+     * Adopts a base row.
      *
      * @param indexes - The indexes of the archives that are not known yet.
      */
@@ -138,13 +138,13 @@
         if (base.first > this.last + 1) {
             this.restartAt(base.first);
         }
-        // The claims of the newest archive stay, since most duplicates come soon.
+        // The claims of the newest archive stay in memory, since most duplicates arrive soon after the first request.
         this.dropBefore((this.archives[1]?.archive.last ?? 0) + 1);
         this.recentKeys = this.recentKeys.filter(keyHash => (this.claims.get(keyHash)?.segment ?? 0) >= base.first);
         this.time.observe(base.time);
     }
 
-    /** Forgets expired claims, if the last time was long enough ago. */
+    /** Drops expired claims if the sweep interval has passed. */
     forgetExpired(): void {
         const now = this.time.now();
         if (now < this.nextSweep) {
@@ -154,7 +154,7 @@
         this.dropWhere(({ expiry }) => expiry < now);
     }
 
-    /** Forgets everything, so that the partition is read anew. Partition time does not go back. */
+    /** Drops all claims, so that the partition is read again from the start. Partition time does not go back. */
     clear(): void {
         this.restartAt(1);
         this.archives = [];
@@ -162,7 +162,7 @@
         this.runners.clear();
     }
 
-    /** Archives hold segments that were never read here; any claim held may be outdated by one of them. */
+    /** Drops all claims and continues at a segment. Skipped segments may hold newer claims than those in memory. */
     private restartAt(first: number): void {
         this.claims.clear();
         this.recentKeys = [];
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Of several claims of a key the one in the last segment counts. */
+    /** Stores a claim. A later segment overrides earlier claims of the same key. */
     private keep({ keyHash, digest, generation, runner, expiry }: ClaimRecord, segment: number): void {
         this.claims.set(keyHash, { digest, generation, runner: this.internRunner(runner), expiry, segment });
     }
--- a/packages/claims/src/lib/journal/PendingCall.ts
+++ b/packages/claims/src/lib/journal/PendingCall.ts
@@ -6,7 +6,7 @@
 import { type PartitionState } from "./PartitionState.js";
 
 /**
- * A call that wants to record a claim, or to find it recorded.
+ * A call that records a claim or finds one that is recorded.
  *
  * @internal
  */
@@ -16,26 +16,26 @@
 
     private constructor(
         readonly request: ClaimRequest,
-        /** The generation that a move starts from; undefined for a first claim. */
+        /** The generation that a move replaces; undefined for {@link PendingCall.acquire}. */
         private readonly from: number | undefined,
     ) {
         this.keyHash = keyHashOf(request);
         this.digest = shortHash(request.digest);
     }
 
-    /** A call that claims a request. */
+    /** Creates a call that claims a request. */
     static acquire(request: ClaimRequest): PendingCall {
         return new PendingCall(request, undefined);
     }
 
-    /** A call that moves a claim, or undefined if the claim is not one of this request. */
+    /** Creates a call that moves a claim. Returns undefined if the claim belongs to another request. */
     static move(claim: Claim, request: ClaimRequest): PendingCall | undefined {
         const identity = decodeClaim(claim.id);
         const call = new PendingCall(request, identity?.generation);
         return identity?.keyHash === call.keyHash ? call : undefined;
     }
 
-    /** The answer that follows from what is recorded, or undefined while a record must be written first. */
+    /** The outcome according to the recorded claims, or undefined if a record must be written first. */
     answer(state: PartitionState): Outcome<Claim> | undefined {
         if (state.findArchive(this.keyHash) !== undefined) {
             return undefined;
@@ -44,12 +44,12 @@
         return this.from === undefined ? this.answerAcquire(state, record) : this.answerMove(state, record, this.from);
     }
 
-    /** The record that this call wants to write. */
+    /** The record to write for this call. */
     record(state: PartitionState, segment: number): ClaimRecord {
         const { request, keyHash, digest } = this;
         const present = state.find(keyHash);
         const expiry = Math.max(state.time.now() + request.retention, present?.expiry ?? 0);
-        // Numbers of segments go back with a copy of the store, and a claim that was written again keeps its generation.
+        // Segment numbers go back when the store is restored from a copy, and a rewritten claim keeps its generation.
         const generation = Math.max(state.firstGeneration + segment, (present?.generation ?? 0) + 1);
         return { keyHash, digest, generation, runner: request.runner, expiry };
     }
@@ -81,7 +81,7 @@
         if (record.generation === from) {
             return undefined;
         }
-        // A repeat of a move that succeeded finds its own result.
+        // A retry of a move that succeeded returns the same claim.
         return record.generation > from && equalRunners(record.runner, this.request.runner)
             ? Result.ok(claimOf(this.request, record, state.series, false))
             : cannotMove("another process moved the claim first");
@@ -93,7 +93,7 @@
 }
 
 function keyReused(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.keyReused, "the key stands for another request"));
+    return Result.err(failure(requestCodes.keyReused, "the key was used for a different request"));
 }
 
 function cannotMove(message: string): Outcome<Claim> {
--- a/packages/claims/src/lib/journal/PendingCalls.ts
+++ b/packages/claims/src/lib/journal/PendingCalls.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * The calls that wait for a write, in order of arrival. Each ends by itself when its time is up.
+ * The calls that wait for a write, in order of arrival. Each fails when its timeout expires.
  *
  * @internal
  */
@@ -31,7 +31,7 @@
         return this.calls.size;
     }
 
-    /** Lets a call wait. */
+    /** Adds a call and starts its timeout. */
     add(call: PendingCall): Promise<Outcome<Claim>> {
         return new Promise(end => {
             const timer = this.clock.schedule(() => this.end(call, timedOut()), this.callTimeout);
@@ -39,7 +39,7 @@
         });
     }
 
-    /** Ends a call if it still waits. */
+    /** Ends a call with an outcome if it still waits. */
     end(call: PendingCall, outcome: Outcome<Claim>): void {
         const waiting = this.calls.get(call);
         if (waiting !== undefined) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Ends every call that needs no write any more. */
+    /** Ends every call that no longer needs a write. */
     answer(state: PartitionState): void {
         for (const call of this.calls.keys()) {
             const outcome = call.answer(state);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Puts the first calls into a batch; a second call of the same key waits for the outcome of the first. */
+    /** Adds the oldest calls to a batch. A second call with the same key waits for the outcome of the first. */
     fill(batch: Batch, limit: number): void {
         for (const call of this.calls.keys()) {
             if (batch.size >= limit) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The calls that need an archive to be read first, by the archive's name. */
+    /** The calls for which an archive must be read first, by archive name. */
     groupByArchive(state: PartitionState): Map<string, ArchiveGroup> {
         const groups = new Map<string, ArchiveGroup>();
         for (const call of this.calls.keys()) {
@@ -83,7 +83,7 @@
         return groups;
     }
 
-    /** Ends every call in the same way. */
+    /** Ends every call with the same outcome. */
     endAll(outcome: Outcome<Claim>): void {
         for (const call of this.calls.keys()) {
             this.end(call, outcome);
@@ -92,5 +92,5 @@
 }
 
 function timedOut(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.claimUnavailable, "the claim was not recorded in time"));
+    return Result.err(failure(requestCodes.claimUnavailable, "the claim was not recorded before the call timed out"));
 }
--- a/packages/claims/src/lib/journal/RecentSegments.ts
+++ b/packages/claims/src/lib/journal/RecentSegments.ts
@@ -1,6 +1,6 @@
 import { type Segment } from "./partitionRows.js";
 
-/** A segment that the store has acknowledged or shown. @internal */
+/** A segment that was read from the store or whose write was acknowledged. @internal */
 export interface KnownSegment {
     readonly number: number;
     /** The version of its row. */
@@ -8,23 +8,24 @@
     readonly segment: Segment;
 }
 
-/** Segments that are remembered: what a partition writes in 20 s at its full rate, and a copy of the store is some seconds old. */
+/** Segments kept: what a partition writes in 20 s at its full rate. Copies of the store are some seconds old. */
 const maxSegments = 128;
 
 /**
- * The newest segments of a partition as the store had them, so that those which a copy of the store lacks can be written again.
+ * The newest segments of a partition as the store had them, kept so that claims which a restored copy lacks can be
+ * written again.
  *
  * @internal
  */
 export class RecentSegments {
     private known: KnownSegment[] = [];
 
-    /** Those from a number on, in order. */
+    /** The segments with at least a given number, in order. */
     from(first: number): readonly KnownSegment[] {
         return this.known.filter(({ number }) => number >= first);
     }
 
-    /** Adds the segment that follows the newest one, or replaces one that was written again. */
+    /** Adds the segment that follows the newest one, or replaces a segment that was written again. */
     put(segment: KnownSegment): void {
         const others = this.known.filter(({ number }) => number !== segment.number);
         this.known = [...others, segment].sort((a, b) => a.number - b.number).slice(-maxSegments);
--- a/packages/claims/src/lib/journal/archives.ts
+++ b/packages/claims/src/lib/journal/archives.ts
@@ -5,7 +5,7 @@
 import { type ClaimRecord, packRecords, recordBlockSchema, unpackRecords } from "./ClaimRecord.js";
 import { readJson } from "./readValue.js";
 
-/** Objects read at the same time. */
+/** Concurrent reads at most. */
 const readsAtOnce = 8;
 
 /** The name of the object that holds the index of an archive. @internal */
@@ -13,12 +13,12 @@
     return `${archive}.index`;
 }
 
-/** Writes records as the bytes of an archive. @internal */
+/** Encodes records as an archive. @internal */
 export function encodeArchive(records: readonly ClaimRecord[]): Uint8Array {
     return new TextEncoder().encode(JSON.stringify(packRecords(records)));
 }
 
-/** Reads the indexes of archives, some at a time. @internal */
+/** Reads the indexes of archives, a limited number concurrently. @internal */
 export async function loadIndexes(
     objects: ObjectStore,
     archives: readonly string[],
@@ -62,7 +62,7 @@
     if (data.isErr) {
         return Result.err(data.error);
     }
-    // The base row that named a missing object has been replaced in the meantime; reading again finds the new one.
+    // The base row that refers to the missing object has been replaced; a retry reads the new one.
     return data.value === undefined
         ? Result.err(failure(platformCodes.storeUnknown, `${name} has been replaced`))
         : Result.ok(data.value);
--- a/packages/claims/src/lib/journal/readValue.ts
+++ b/packages/claims/src/lib/journal/readValue.ts
@@ -3,9 +3,9 @@
 import { type z } from "zod";
 
 /**
- * Reads a value from the store by its schema. A value that does not fit fails the call, not the process.
+ * Parses a stored value with a schema. A value that does not fit fails the call, not the process.
  *
- * @param name - What is read, for the message.
+ * @param name - The name of the row or object, for the error message.
  *
  * @internal
  */
@@ -16,7 +16,7 @@
         : Result.err(failure(platformCodes.storeUnavailable, `${name} cannot be read`));
 }
 
-/** Reads JSON text by its schema. @internal */
+/** Parses JSON text with a schema. @internal */
 export function readJson<T extends z.ZodType>(schema: T, text: string, name: string): Outcome<z.infer<T>> {
     try {
         return readValue(schema, JSON.parse(text), name);
--- a/packages/claims/src/lib/journal/reclaim.test.ts
+++ b/packages/claims/src/lib/journal/reclaim.test.ts
@@ -9,7 +9,7 @@
 
 const another = { target: "b", incarnation: "1" };
 
-/** Callers, entries and owners that share a partition while its store comes back from copies at any moment. */
+/** Simulates callers, entries and owners of one partition while its store is restored from copies at any moment. */
 class BusyPartition {
     readonly site = new JournalSite();
     private readonly owners: ClaimJournal[] = [];
@@ -74,7 +74,10 @@
         this.open.add(call);
     }
 
-    /** What an entry does: it sends to the runner of the claim, some time later, and moves a claim that was refused. */
+    /**
+     * Acts as an entry: sends the request to the runner of its claim, possibly late, and moves a claim that was
+     * refused.
+     */
     private async serve(call: ClaimRequest): Promise<void> {
         let claim = (await this.anyOwner().acquire(call)).unwrapOr(undefined);
         for (let attempt = 0; claim !== undefined && attempt < 3; attempt++) {
@@ -112,15 +115,19 @@
     }
 }
 
-/** Seeds that once let a request run twice: a claim that an archive hid, and rows of an unsettled era taken for granted ones. */
+/**
+ * Seeds that reproduce requests running twice: an archived claim was not found, and rows of an era whose lost claims
+ * had not been recovered were treated as granted.
+ */
 const failedSeeds = [83, 112, 127, 170];
 const firstSeed = Number(process.env["RECLAIM_FIRST"] ?? 1);
 const seedCount = Number(process.env["RECLAIM_SEEDS"] ?? 15);
 const seeds = [...failedSeeds, ...Array.from({ length: seedCount }, (_, index) => firstSeed + index)];
 
-// Claims are asked for at any owner, and sent late, while owners or runners die and the store comes back from copies in series.
+// Any owner may be called and requests may reach runners late, while owners or runners crash and the store is restored
+// from copies repeatedly.
 for (const kills of ["owners", "runners"] as const) {
-    test(`copies of the store at any moment let no request run twice, whatever owner is asked, while ${kills} die`, async () => {
+    test(`no request runs twice when the store is restored from copies at any time while ${kills} crash`, async () => {
         for (const seed of seeds) {
             const partition = new BusyPartition(seededRandom(seed), kills);
             for (let step = 0; step < 120; step++) {
@@ -147,7 +154,7 @@
     assert.equal(site.runners.run(late), "refused");
 });
 
-test("a claim that only its runner remembers goes back to it", async () => {
+test("a claim that only its runner reports is granted to that runner again", async () => {
     const site = new JournalSite();
     const owner = site.owner();
     claimOf(await site.wait(owner.acquire(request("old"))));
@@ -160,7 +167,8 @@
     assert.deepEqual([repeat.id, repeat.created], [lost.id, false]);
 });
 
-// Its tip has the number and the version of the new one, and the segment after it does not exist.
+// The last segment it knows has the same number and version as the new one, and no segment follows, so a stale write
+// would pass the conditions on rows alone.
 test("an owner that has not heard of a new era adds nothing to a partition that was settled in it", async () => {
     const site = new JournalSite();
     const idle = site.owner();
@@ -177,7 +185,7 @@
     assert.equal(third.id, present.id);
 });
 
-test("rows are not deleted by what a base row said in an earlier era", async () => {
+test("segments are not deleted based on a base row of an earlier era", async () => {
     const site = new JournalSite();
     const options = { partition: 0, objects: site.objects, clock: site.clock, pageSize: 10 };
     const idle = new PartitionLog({ ...options, table: new AnsweredEra(site.table) });
@@ -206,8 +214,9 @@
     assert.ok(claimOf(await site.wait(owner.acquire(request("new")))).created);
 });
 
-// The partition refused every claim for good: its base row named an archive that had been deleted after its claims had expired.
-test("an old base row may name an archive that has been deleted since", async () => {
+// Guards against a partition that refuses every claim permanently because its restored base row refers to an archive
+// that was deleted after its claims had expired.
+test("a restored base row may refer to an archive that has been deleted since", async () => {
     const site = new JournalSite();
     const owner = site.owner({ archiveAfter: 3 });
     const fill = async (prefix: string): Promise<void> => {
@@ -227,7 +236,7 @@
     claimOf(await site.wait(other.acquire(request("new", { runner: another }))));
 });
 
-test("an owner that has archived and deleted segments which a copy lost takes none of the new ones away", async () => {
+test("an owner that archived and deleted segments before a restore deletes no segment written after it", async () => {
     const site = new JournalSite();
     const owner = site.owner({ archiveAfter: 6 });
     for (let number = 0; number < 4; number++) {
--- a/packages/claims/src/lib/journal/storeCopy.test.ts
+++ b/packages/claims/src/lib/journal/storeCopy.test.ts
@@ -4,10 +4,11 @@
 import { claimOf, JournalSite, request } from "./testing/JournalSite.js";
 
 /**
- * A caller's request ran twice: the store had come back from a copy that lacked the newest segment, its owner wrote the next one behind
- * the gap, and another owner, which reads up to the first gap, claimed the key of the lost segment for another runner.
+ * Guards against a request that runs twice: the store is restored from a copy that lacks the newest segment, and its
+ * owner writes the next segment after the gap. Another owner reads only up to the gap and would claim the key of the
+ * lost segment for another runner.
  */
-test("claims that a copy of the store lacks are written again before any new one", async () => {
+test("claims that a restored copy of the store lacks are written again before any new claim", async () => {
     const site = new JournalSite();
     const owner = site.owner({ pageSize: 1 });
     await site.wait(owner.acquire(request("old")));
@@ -23,7 +24,7 @@
     assert.equal(claimOf(await site.wait(other.acquire(request("new", { runner })))).created, false);
 });
 
-test("claims that a copy of the store lacks give way to those that another owner has written since", async () => {
+test("a lost claim is not written again if another owner has claimed its key since the restore", async () => {
     const site = new JournalSite();
     const owner = site.owner();
     await site.wait(owner.acquire(request("old")));
@@ -53,7 +54,7 @@
     assert.equal(claimOf(await site.wait(owner.acquire(request("other")))).id, present.id);
 });
 
-// The owner that had written the claim is gone or idle, and one that has never read it serves the caller's repeat.
+// The owner that wrote the claim is stopped or idle, and the caller's retry reaches an owner that has never read it.
 test("a claim that a copy of the store lacks is granted to another runner by no owner", async () => {
     const site = new JournalSite();
     const owner = site.owner();
@@ -66,7 +67,7 @@
     assert.notEqual(repeat.unwrapOr(undefined)?.created, true);
 });
 
-test("copies of the store at any moment lose no claim whose owner writes again", async () => {
+test("no claim is lost when the store is restored from copies at any moment and the owner writes again", async () => {
     for (let seed = 1; seed <= 20; seed++) {
         const site = new JournalSite();
         const random = seededRandom(seed);
--- a/packages/claims/src/lib/journal/storeOutage.test.ts
+++ b/packages/claims/src/lib/journal/storeOutage.test.ts
@@ -9,7 +9,7 @@
 const hour = 3_600_000;
 /** Milliseconds between two steps of the clock. */
 const step = 50;
-/** Milliseconds within which every refusal must come. */
+/** Milliseconds within which a call must be refused. */
 const refusalBound = 100;
 /** Milliseconds within which claims must be granted again after the outage. */
 const recoveryBound = 6000;
--- a/packages/claims/src/lib/journal/storeShare.test.ts
+++ b/packages/claims/src/lib/journal/storeShare.test.ts
@@ -6,10 +6,10 @@
 
 const calls = 100;
 const partitions = 32;
-/** Milliseconds in which an owner of all partitions has read them, as it does when it becomes one. */
+/** Milliseconds within which a new owner of all partitions has loaded them. */
 const loadTime = 10_000;
 
-/** Sends a burst of claims of different keys to one owner of everything, and counts those that are granted. */
+/** Sends a burst of claims of different keys to the owner of all partitions and counts those that are granted. */
 async function grantedOfBurst(writesPerSecond: number): Promise<number> {
     const clock = new ManualClock();
     const random = seededRandom(1);
@@ -43,10 +43,10 @@
     return granted;
 }
 
-test("a store share as large as the journal's pace grants a burst whole", async () => {
+test("a write budget as large as the journal's write rate grants a whole burst", async () => {
     assert.equal(await grantedOfBurst(200), calls);
 });
 
-test("a store share below the journal's pace refuses part of a burst", async () => {
+test("a write budget below the journal's write rate refuses part of a burst", async () => {
     assert.ok(await grantedOfBurst(10) < calls);
 });
--- a/packages/claims/src/lib/journal/testing/JournalSite.ts
+++ b/packages/claims/src/lib/journal/testing/JournalSite.ts
@@ -13,10 +13,10 @@
     readonly objects = new MemoryObjectStore({ clock: this.clock });
     /** The processes that run claims. */
     readonly runners = new Runners();
-    /** The owners that live, and so tell one another which claims they know. */
+    /** The live owners, which report the claims that they know. */
     private readonly owners = new Set<ClaimJournal>();
 
-    /** A new owner; `rate` is its writes per second. */
+    /** Starts an owner with a rate in writes per second. */
     owner(options: Partial<ClaimJournalOptions> = {}, rate = 1000): ClaimJournal {
         const { clock, objects } = this;
         const table = new AnsweredEra(this.table);
@@ -38,7 +38,7 @@
         return owner;
     }
 
-    /** Ends an owner, with all that only it knew. */
+    /** Stops an owner and discards its memory. */
     kill(owner: ClaimJournal): void {
         this.owners.delete(owner);
     }
@@ -61,13 +61,13 @@
     }
 }
 
-/** A request with a key, as one of many alike. */
+/** A request with a key and default values for all other fields. */
 export function request(key: string, changes: Partial<ClaimRequest> = {}): ClaimRequest {
     const runner = { target: "a", incarnation: "1" };
     return { route: "r", organisation: "o", key, digest: "d", runner, retention: 60_000, ...changes };
 }
 
-/** The claim that was granted; fails when none was. */
+/** The granted claim of an outcome; the assertion fails if there is none. */
 export function claimOf(outcome: Outcome<Claim>): Claim {
     assert.ok(outcome.isOk);
     return outcome.value;
