--- a/packages/claims/src/bench/claimsBench.ts
+++ b/packages/claims/src/bench/claimsBench.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the claims journal: `node --expose-gc packages/claims/dist/bench/claimsBench.js`.
+ * Benchmarks the claims journal: `node --expose-gc packages/claims/dist/bench/claimsBench.js`.
  *
  * @packageDocumentation
  */
--- a/packages/claims/src/bench/measureOwner.ts
+++ b/packages/claims/src/bench/measureOwner.ts
@@ -7,13 +7,14 @@
 
 /** Claims in flight while a journal is filled. */
 const batch = 200;
-/** Claims with which {@link acquireTime} measures. */
+/** Claims that {@link acquireTime} makes. */
 const acquires = 2000;
+/** Milliseconds for which a journal may still be archiving after it was filled. */
 const archivingTime = 200;
 const bytesPerKiB = 1024;
 const microsecondsPerMillisecond = 1000;
 
-/** Bytes in use, typed arrays included. */
+/** Bytes of memory in use, typed arrays included. Collects garbage first if `--expose-gc` is set. */
 function usedMemory(): number {
     globalThis.gc?.();
     const { heapUsed, arrayBuffers } = process.memoryUsage();
@@ -28,7 +29,7 @@
     return table.faults.arrivals.read + objects.faults.arrivals.read;
 }
 
-/** Microseconds that a new claim takes beside those that are known. */
+/** Microseconds to record a new claim in a journal that holds a number of claims. */
 async function acquireTime(journal: ClaimJournal, known: number): Promise<number> {
     const start = performance.now();
     await fill(journal, acquires, known);
@@ -54,12 +55,12 @@
     }
 }
 
-/** Segments in an archive, so that a partition has at most about a hundred archives, as after 24 hours. */
+/** Segments per archive with which a partition has at most about a hundred archives, as after 24 hours of operation. */
 export function segmentsPerArchive(claims: number): number {
     return Math.max(10, Math.ceil(claims / batch / 100));
 }
 
-/** Measures the processor time that an owner and the stand-in store take for a claim, in batches. */
+/** Measures the throughput and the CPU time per claim of an owner and its in-memory store, in batches. */
 export async function measureThroughput(claims: number): Promise<Figures> {
     const clock = new SystemClock();
     const journal = createJournal(clock, createStores(clock), 500);
@@ -76,9 +77,9 @@
 }
 
 /**
- * Measures how long a new owner reads a partition, and the memory that it then takes.
+ * Measures the time that a new owner takes to load a partition, and the memory that the partition then uses.
  *
- * @param archiveAfter - Segments of 200 claims after which they go to an archive.
+ * @param archiveAfter - Segments of 200 claims after which the segments are moved to an archive.
  */
 export async function measureTakeover(claims: number, archiveAfter: number): Promise<Figures> {
     const clock = new SystemClock();
--- a/packages/claims/src/bench/measureRates.ts
+++ b/packages/claims/src/bench/measureRates.ts
@@ -5,34 +5,34 @@
 import { partitionOf } from "../lib/routing/partitionOf.js";
 import { type Figures, quantile } from "./table.js";
 
-/** How {@link measureRate} loads the journals. */
+/** The load that {@link measureRate} generates. */
 export interface RateSetUp {
     /** Claims per second over all partitions. */
     readonly rate: number;
     readonly partitions: number;
     /** Writes per second over all partitions. */
     readonly writesPerSecond: number;
-    /** Milliseconds that the store takes for a call. */
+    /** Milliseconds that the store takes per call. */
     readonly storeTime: number;
-    /** Virtual seconds to measure. */
+    /** Duration of the measurement in virtual seconds. */
     readonly seconds: number;
     readonly seed: number;
 }
 
 const msPerSecond = 1000;
 const retention = 86_400_000;
-/** Extra time in which calls that still wait can end, in milliseconds. */
+/** Milliseconds after the measurement in which waiting calls can end. */
 const drainTime = 2000;
 
-/** A request with a key of its own. */
+/** A request with a unique key. */
 export function benchRequest(number: number): ClaimRequest {
     const runner = { target: `target-${number % 200}`, incarnation: "0b7e4f0a-7a52-4b0e-9d8b-0d1e6f3f9a11" };
     return { route: "records", organisation: "ports", key: `key-${number}`, digest: `${number}`, runner, retention };
 }
 
 /**
- * Measures latency and writes on virtual time, with an owner of its own for each partition and claims that arrive at
- * random moments whether or not earlier ones have ended.
+ * Measures latency and writes in virtual time with a separate owner per partition. Claims arrive at random times,
+ * independently of whether earlier ones have ended.
  */
 export async function measureRate(setUp: RateSetUp): Promise<Figures> {
     const { rate, partitions, writesPerSecond, storeTime, seconds, seed } = setUp;
--- a/packages/claims/src/bench/table.ts
+++ b/packages/claims/src/bench/table.ts
@@ -1,4 +1,4 @@
-/** One line of measured figures. */
+/** A table row of measured figures, by column name. */
 export type Figures = Readonly<Record<string, number>>;
 
 /** Formats figures as a Markdown table. */
@@ -8,7 +8,7 @@
     return `\n${title}\n\n${rows.map(row => `| ${row.join(" | ")} |`).join("\n")}\n`;
 }
 
-/** The value below which a part of the samples lies. */
+/** The value below which a given fraction of the sorted samples lies. */
 export function quantile(sorted: readonly number[], part: number): number {
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? NaN;
 }
