--- a/packages/claims/src/lib/left/LeftClaimsStore.ts
+++ b/packages/claims/src/lib/left/LeftClaimsStore.ts
@@ -4,7 +4,7 @@
 import { type Claim, type Runner } from "../Claims.js";
 import { FinalClaimsIndex, type LeftClaims, type LeftOutcome, parseFinalClaims } from "./LeftClaims.js";
 
-/** Options of {@link LeftClaimsStore}. @public */
+/** Options of {@link FinalClaimsStore}. @public */
 export interface LeftClaimsStoreOptions {
     readonly objects: ObjectStore;
     readonly clock: Clock;
--- a/packages/claims/src/lib/reclaim/createReportCollector.test.ts
+++ b/packages/claims/src/lib/reclaim/createReportCollector.test.ts
@@ -39,7 +39,11 @@
 }
 
 function processes(...known: readonly boolean[]): ReportingProcess[] {
-    return known.map((isKnown, port) => ({ process: `t${port}`, address: { host: "127.0.0.1", port }, isKnown }));
+    return known.map((isLive, port) => ({
+        process: `t${port}`,
+        address: { host: "127.0.0.1", port },
+        isKnown: isLive,
+    }));
 }
 
 async function collect(
--- a/packages/claims/src/lib/routing/ClaimRouter.ts
+++ b/packages/claims/src/lib/routing/ClaimRouter.ts
@@ -38,6 +38,7 @@
     avoidDuration: 2_000,
 };
 
+/** Milliseconds after which a caller may retry. */
 const retryAfter = 500;
 
 /** A call that can be made remotely, by its method and parameters, or locally. */
