--- a/packages/agent/src/lib/claims/AgentClaims.ts
+++ b/packages/agent/src/lib/claims/AgentClaims.ts
@@ -1,4 +1,4 @@
-import { type LeftClaims, type ReportedClaim, type ReportRequest } from "@waxwingspar/claims";
+import { type FinalClaims, type ReportedClaim, type ReportRequest } from "@waxwingspar/claims";
 import { type Outcome } from "@waxwingspar/utils";
 import { type AgentContext } from "../AgentContext.js";
 import { type CallClaims } from "../service/CallSink.js";
@@ -7,7 +7,7 @@
 import { collectLeftClaims } from "./collectLeftClaims.js";
 
 /** Writes down what became of the claims of an agent that has left. @public */
-export type WriteLeftClaims = (left: LeftClaims) => Promise<Outcome<void>>;
+export type WriteLeftClaims = (left: FinalClaims) => Promise<Outcome<void>>;
 
 /**
  * Every claim of one agent: those of model requests and those of plain calls.
--- a/packages/agent/src/lib/claims/ClaimTable.ts
+++ b/packages/agent/src/lib/claims/ClaimTable.ts
@@ -1,7 +1,7 @@
 import {
     decodeClaim,
+    type FinalClaim,
     ForgottenClaims,
-    type LeftClaim,
     type ReportedClaim,
     type ReportRequest,
 } from "@waxwingspar/claims";
@@ -127,7 +127,7 @@
     }
 
     /** Every remembered claim, the newest first. One that still runs, or may go on, counts as interrupted. */
-    listEnds(): { readonly record: ClaimRecord<Item, End>; readonly end: LeftClaim["end"]; }[] {
+    listEnds(): { readonly record: ClaimRecord<Item, End>; readonly end: FinalClaim["end"]; }[] {
         const running = [...this.records.values()].filter(record => !this.settled.has(record));
         const records = [...running, ...[...this.settled].reverse()];
         return records.map(record => ({ record, end: endOf(record.state) }));
@@ -272,7 +272,7 @@
     }
 }
 
-function endOf(state: ClaimState): LeftClaim["end"] {
+function endOf(state: ClaimState): FinalClaim["end"] {
     switch (state) {
         case "ended":
         case "forgotten":
--- a/packages/agent/src/lib/claims/collectLeftClaims.test.ts
+++ b/packages/agent/src/lib/claims/collectLeftClaims.test.ts
@@ -1,4 +1,4 @@
-import { decodeClaim, encodeClaim, type LeftClaims, shortHash } from "@waxwingspar/claims";
+import { decodeClaim, encodeClaim, type FinalClaims, shortHash } from "@waxwingspar/claims";
 import { requestCodes } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { once } from "node:events";
@@ -23,7 +23,7 @@
 /** An agent beside a service, which writes its claims down when it leaves. */
 class LeavingSite {
     readonly site = new TestSite();
-    readonly written: LeftClaims[] = [];
+    readonly written: FinalClaims[] = [];
     runs = 0;
     /** Runs while the claims are being written. */
     onWrite: () => Promise<void> = () => Promise.resolve();
@@ -40,7 +40,7 @@
         await once(server, "listening");
         const { port } = server.address() as AddressInfo;
         const service = { name: "records", baseUrl: `http://127.0.0.1:${port}` };
-        const writeLeftClaims = async (left: LeftClaims): Promise<Result<void, never>> => {
+        const writeLeftClaims = async (left: FinalClaims): Promise<Result<void, never>> => {
             created.written.push(left);
             await created.onWrite();
             return Result.ok(undefined);
@@ -90,7 +90,7 @@
         assert.ok(condition(), "it happened in time");
     }
 
-    async leave(): Promise<Map<string | undefined, LeftClaims["claims"][number]>> {
+    async leave(): Promise<Map<string | undefined, FinalClaims["claims"][number]>> {
         let left = false;
         void this.site.targets.get("a")?.agent.leave().then(() => {
             left = true;
--- a/packages/agent/src/lib/claims/collectLeftClaims.ts
+++ b/packages/agent/src/lib/claims/collectLeftClaims.ts
@@ -1,4 +1,4 @@
-import { type LeftClaim, type LeftClaims, type LeftReply, type Runner } from "@waxwingspar/claims";
+import { type FinalClaim, type FinalClaims, type Runner, type StoredReply } from "@waxwingspar/claims";
 import { type CallClaims, type CallRecord } from "../service/CallSink.js";
 import { type AnswerClaims } from "./AnswerRecord.js";
 
@@ -19,9 +19,9 @@
  *
  * @internal
  */
-export function collectLeftClaims({ runner, calls, answers, bytes, until }: LeftClaimsInput): LeftClaims {
+export function collectLeftClaims({ runner, calls, answers, bytes, until }: LeftClaimsInput): FinalClaims {
     let room = bytes;
-    const callEnds = calls.listEnds().map(({ record, end }): LeftClaim => {
+    const callEnds = calls.listEnds().map(({ record, end }): FinalClaim => {
         const reply = record.state === "ended" ? replyOf(record) : undefined;
         const size = reply === undefined ? 0 : JSON.stringify(reply).length;
         if (reply === undefined || size > room) {
@@ -30,7 +30,7 @@
         room -= size;
         return { claim: record.id, end, reply };
     });
-    const answerEnds = answers.listEnds().map(({ record, end }): LeftClaim => ({ claim: record.id, end }));
+    const answerEnds = answers.listEnds().map(({ record, end }): FinalClaim => ({ claim: record.id, end }));
     return {
         version: 1,
         ...runner,
@@ -40,7 +40,7 @@
     };
 }
 
-function replyOf({ items }: CallRecord): LeftReply | undefined {
+function replyOf({ items }: CallRecord): StoredReply | undefined {
     const head = items.find(item => item.kind === "head");
     if (head === undefined) {
         return undefined;
--- a/packages/claims/src/lib/TableClaims.ts
+++ b/packages/claims/src/lib/TableClaims.ts
@@ -14,15 +14,20 @@
 import { z } from "zod";
 import { encodeClaim, keyHashOf, shortHash, unknownDigest } from "./claimId.js";
 import { type Claim, type ClaimRequest, type Claims } from "./Claims.js";
-import { type CollectReports, type Reclaim, type ReportedClaim, type ReportRequest } from "./reclaim/ClaimReport.js";
-import { firstGeneration } from "./reclaim/generations.js";
+import {
+    type ClaimRecovery,
+    type CollectReports,
+    type ReportedClaim,
+    type ReportRequest,
+} from "./recovery/ClaimReport.js";
+import { firstGeneration } from "./recovery/generations.js";
 import {
     readRecoveryMarker,
     type RecoveryMarker,
     recoveryMarkerCondition,
     recoveryMarkerWrites,
-} from "./reclaim/Settlement.js";
-import { selectPrevailingClaims } from "./reclaim/strongestOfEach.js";
+} from "./recovery/RecoveryMarker.js";
+import { selectPrevailingClaims } from "./recovery/selectPrevailingClaims.js";
 
 const claimRowSchema = z.object({
     digest: z.string(),
@@ -46,12 +51,12 @@
      */
     readonly collectReports?: CollectReports;
     /** Runs after each attempt to recover lost claims. */
-    readonly onReclaim?: (reclaim: Reclaim) => void;
+    readonly onRecovery?: (recovery: ClaimRecovery) => void;
 }
 
 const defaults = {
     collectReports: () => Promise.resolve(Result.ok<readonly ReportedClaim[], Failure>([])),
-    onReclaim: () => undefined,
+    onRecovery: () => undefined,
 };
 
 /** A row and its claim, read after lost claims were recovered in the same era of the store. */
@@ -206,7 +211,7 @@
         }
         const recovered = await this.recoverAll(era, known.value);
         const refusal = recovered.isErr ? recovered.error.message : undefined;
-        this.options.onReclaim({ series, era, reported: recovered.unwrapOr(0), refusal });
+        this.options.onRecovery({ series, era, reported: recovered.unwrapOr(0), refusal });
         return recovered.isErr ? Result.err(recovered.error) : this.ensureRecovered(era);
     }
 
--- a/packages/claims/src/lib/left/LeftClaims.ts
+++ b/packages/claims/src/lib/final/FinalClaims.ts
@@ -31,17 +31,17 @@
 });
 
 /** The response of a plain service, stored by a runner at shutdown. @public */
-export type LeftReply = z.infer<typeof replySchema>;
+export type StoredReply = z.infer<typeof replySchema>;
 
 /** The outcome of one claim at a runner that has shut down. @public */
-export type LeftClaim = z.infer<typeof finalClaimSchema>;
+export type FinalClaim = z.infer<typeof finalClaimSchema>;
 
 /**
  * The claims of a runner that shut down gracefully, written once it could no longer run any request.
  *
  * @public
  */
-export type LeftClaims = z.infer<typeof finalClaimsSchema>;
+export type FinalClaims = z.infer<typeof finalClaimsSchema>;
 
 /**
  * What the claims written by a runner at shutdown prove about one claim.
@@ -52,12 +52,12 @@
  *
  * @public
  */
-export type LeftOutcome =
-    | { readonly kind: "answered"; readonly reply: LeftReply; }
+export type FinalOutcome =
+    | { readonly kind: "answered"; readonly reply: StoredReply; }
     | { readonly kind: "notRun" | "unknown"; };
 
 /** Parses the object that a runner wrote. @returns Undefined if it does not fit the schema. @internal */
-export function parseFinalClaims(data: Uint8Array): LeftClaims | undefined {
+export function parseFinalClaims(data: Uint8Array): FinalClaims | undefined {
     try {
         return finalClaimsSchema.safeParse(JSON.parse(Buffer.from(data).toString("utf8"))).data;
     }
@@ -68,16 +68,16 @@
 
 /** An index of the claims that one runner wrote at shutdown. @internal */
 export class FinalClaimsIndex {
-    private readonly claims: ReadonlyMap<string, LeftClaim>;
+    private readonly claims: ReadonlyMap<string, FinalClaim>;
     private readonly forgotten: ForgottenClaims;
 
-    constructor(finalClaims: LeftClaims) {
+    constructor(finalClaims: FinalClaims) {
         this.claims = new Map(finalClaims.claims.map(claim => [claim.claim, claim]));
         this.forgotten = new ForgottenClaims(finalClaims.forgotten);
     }
 
     /** The outcome of a claim of this runner. A claim that is neither listed nor evicted never ran. */
-    outcome(claim: string): LeftOutcome {
+    outcome(claim: string): FinalOutcome {
         const listed = this.claims.get(claim);
         if (listed === undefined) {
             return { kind: this.forgotten.mayInclude(claim) ? "unknown" : "notRun" };
--- a/packages/claims/src/lib/left/LeftClaimsStore.test.ts
+++ b/packages/claims/src/lib/final/FinalClaimsStore.test.ts
@@ -3,8 +3,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { encodeClaim, shortHash } from "../claimId.js";
-import { type LeftClaims } from "./LeftClaims.js";
-import { LeftClaimsStore } from "./LeftClaimsStore.js";
+import { type FinalClaims } from "./FinalClaims.js";
+import { FinalClaimsStore } from "./FinalClaimsStore.js";
 
 const runner = { target: "t/1", incarnation: "i1" };
 const reply = { status: 201, headers: { "x-part": ["7", "8"] }, body: Buffer.from("done").toString("base64") };
@@ -16,7 +16,7 @@
     return { id, runner };
 }
 
-function finalClaims(clock: ManualClock, changes: Partial<LeftClaims> = {}): LeftClaims {
+function finalClaims(clock: ManualClock, changes: Partial<FinalClaims> = {}): FinalClaims {
     return {
         version: 1,
         ...runner,
@@ -32,10 +32,10 @@
     };
 }
 
-function create(): { clock: ManualClock; objects: MemoryObjectStore; store: LeftClaimsStore; } {
+function create(): { clock: ManualClock; objects: MemoryObjectStore; store: FinalClaimsStore; } {
     const clock = new ManualClock();
     const objects = new MemoryObjectStore({ clock });
-    return { clock, objects, store: new LeftClaimsStore({ objects, clock }) };
+    return { clock, objects, store: new FinalClaimsStore({ objects, clock }) };
 }
 
 test("the claims that a runner wrote at shutdown give the outcome of each claim", async () => {
--- a/packages/claims/src/lib/left/LeftClaimsStore.ts
+++ b/packages/claims/src/lib/final/FinalClaimsStore.ts
@@ -2,10 +2,10 @@
 import { type Clock, failure, type Outcome, platformCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type Claim, type Runner } from "../Claims.js";
-import { FinalClaimsIndex, type LeftClaims, type LeftOutcome, parseFinalClaims } from "./LeftClaims.js";
+import { type FinalClaims, FinalClaimsIndex, type FinalOutcome, parseFinalClaims } from "./FinalClaims.js";
 
 /** Options of {@link FinalClaimsStore}. @public */
-export interface LeftClaimsStoreOptions {
+export interface FinalClaimsStoreOptions {
     readonly objects: ObjectStore;
     readonly clock: Clock;
     /** Milliseconds after which a call to the object store times out. */
@@ -40,16 +40,16 @@
  * ```
  * @public
  */
-export class LeftClaimsStore {
-    private readonly options: Required<LeftClaimsStoreOptions>;
+export class FinalClaimsStore {
+    private readonly options: Required<FinalClaimsStoreOptions>;
     private readonly reads = new Map<string, CachedRead>();
 
-    constructor(options: LeftClaimsStoreOptions) {
+    constructor(options: FinalClaimsStoreOptions) {
         this.options = { ...defaults, ...options };
     }
 
     /** Writes the claims of a runner that can no longer run any request, and deletes old objects of its target. */
-    async write(finalClaims: LeftClaims): Promise<Outcome<void>> {
+    async write(finalClaims: FinalClaims): Promise<Outcome<void>> {
         const data = Buffer.from(JSON.stringify(finalClaims));
         const written = await this.withTimeout(this.options.objects.put(nameOf(finalClaims), data));
         if (written.isOk) {
@@ -63,7 +63,7 @@
      *
      * @returns `unknown` also if the runner wrote no object or the store does not respond in time.
      */
-    async find(claim: Pick<Claim, "id" | "runner">): Promise<LeftOutcome> {
+    async find(claim: Pick<Claim, "id" | "runner">): Promise<FinalOutcome> {
         const index = await this.read(claim.runner);
         return index?.outcome(claim.id) ?? { kind: "unknown" };
     }
@@ -92,7 +92,7 @@
         return matches ? new FinalClaimsIndex(loaded) : undefined;
     }
 
-    private async load(name: string): Promise<LeftClaims | undefined> {
+    private async load(name: string): Promise<FinalClaims | undefined> {
         const found = await this.withTimeout(this.options.objects.get(name));
         return found.isOk && found.value !== undefined ? parseFinalClaims(found.value) : undefined;
     }
@@ -107,7 +107,7 @@
     }
 
     /** Deletes the expired objects of earlier incarnations. */
-    private async deleteOld({ target, incarnation }: LeftClaims): Promise<void> {
+    private async deleteOld({ target, incarnation }: FinalClaims): Promise<void> {
         const { objects, clock } = this.options;
         const names = await this.withTimeout(objects.list(`${prefix}${encodeURIComponent(target)}/`));
         const own = nameOf({ target, incarnation });
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -12,8 +12,8 @@
 } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type Claim, type ClaimRequest, type Claims, type Runner } from "../Claims.js";
-import { type CollectReports, type Reclaim, type ReportedClaim } from "../reclaim/ClaimReport.js";
-import { firstGeneration } from "../reclaim/generations.js";
+import { type ClaimRecovery, type CollectReports, type ReportedClaim } from "../recovery/ClaimReport.js";
+import { firstGeneration } from "../recovery/generations.js";
 import { Archiver } from "./Archiver.js";
 import { Batch } from "./Batch.js";
 import { PartitionLog } from "./PartitionLog.js";
@@ -42,7 +42,7 @@
      */
     readonly collectReports?: CollectReports;
     /** Runs after each attempt to recover lost claims. */
-    readonly onReclaim?: (reclaim: Reclaim) => void;
+    readonly onRecovery?: (recovery: ClaimRecovery) => void;
     /** Milliseconds after which a waiting call fails with `claimUnavailable`. */
     readonly callTimeout?: number;
     /** Waiting calls at most; more are refused. */
@@ -61,7 +61,7 @@
 
 const defaults = {
     collectReports: () => Promise.resolve(Result.ok<readonly ReportedClaim[], Failure>([])),
-    onReclaim: () => undefined,
+    onRecovery: () => undefined,
     callTimeout: 1_000,
     maxPending: 10_000,
     maxBatch: 500,
@@ -281,11 +281,11 @@
      * returned.
      */
     private async recover(): Promise<Outcome<void>> {
-        const { collectReports, onReclaim } = this.options;
+        const { collectReports, onRecovery: onRecovery } = this.options;
         const { log: { era, state: { series } } } = this;
         const reports = await collectReports({ series, before: firstGeneration(era) });
         if (reports.isErr) {
-            onReclaim({ series, era, reported: 0, refusal: reports.error.message });
+            onRecovery({ series, era, reported: 0, refusal: reports.error.message });
             return Result.err(reports.error);
         }
         this.log.addReports(reports.value);
@@ -295,7 +295,7 @@
             this.log.clearLost();
         }
         const refusal = recovered.isErr ? recovered.error.message : undefined;
-        onReclaim({ series, era, reported: reports.value.length, refusal });
+        onRecovery({ series, era, reported: reports.value.length, refusal });
         return recovered;
     }
 
--- a/packages/claims/src/lib/journal/ClaimJournals.ts
+++ b/packages/claims/src/lib/journal/ClaimJournals.ts
@@ -1,7 +1,7 @@
 import { type ObjectStore, type TableStore, TokenBucket } from "@waxwingspar/stores";
 import { type Clock, type Outcome, type Random } from "@waxwingspar/utils";
 import { type Claim, type ClaimRequest, type Claims } from "../Claims.js";
-import { type ReportedClaim, type ReportRequest } from "../reclaim/ClaimReport.js";
+import { type ReportedClaim, type ReportRequest } from "../recovery/ClaimReport.js";
 import { partitionOf } from "../routing/partitionOf.js";
 import { ClaimJournal, type ClaimJournalOptions } from "./ClaimJournal.js";
 
--- a/packages/claims/src/lib/journal/DisplacedClaims.test.ts
+++ b/packages/claims/src/lib/journal/LostClaims.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { unknownDigest } from "../claimId.js";
 import { type ClaimRecord } from "./ClaimRecord.js";
-import { LostClaims } from "./DisplacedClaims.js";
+import { LostClaims } from "./LostClaims.js";
 
 function record(keyHash: string, generation: number, target = "a"): ClaimRecord {
     return { keyHash, digest: "d", generation, runner: { target, incarnation: "1" }, expiry: 1_000 };
--- a/packages/claims/src/lib/journal/DisplacedClaims.ts
+++ b/packages/claims/src/lib/journal/LostClaims.ts
@@ -1,6 +1,6 @@
 import { unknownDigest } from "../claimId.js";
-import { type ReportedClaim } from "../reclaim/ClaimReport.js";
-import { selectPrevailingClaims } from "../reclaim/strongestOfEach.js";
+import { type ReportedClaim } from "../recovery/ClaimReport.js";
+import { selectPrevailingClaims } from "../recovery/selectPrevailingClaims.js";
 import { type ClaimRecord, runnerName } from "./ClaimRecord.js";
 import { type PartitionState } from "./PartitionState.js";
 
--- a/packages/claims/src/lib/journal/PartitionLog.ts
+++ b/packages/claims/src/lib/journal/PartitionLog.ts
@@ -1,13 +1,13 @@
 import { type ObjectStore, type Row, type TableStore, type Transaction } from "@waxwingspar/stores";
 import { type Clock, type Failure, failure, type Outcome, platformCodes, uniqueId } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { type ReportedClaim } from "../reclaim/ClaimReport.js";
-import { firstGeneration } from "../reclaim/generations.js";
-import { RecoveredEra } from "../reclaim/SettledEra.js";
+import { type ReportedClaim } from "../recovery/ClaimReport.js";
+import { firstGeneration } from "../recovery/generations.js";
+import { RecoveredEra } from "../recovery/RecoveredEra.js";
 import { ArchiveIndex } from "./ArchiveIndex.js";
 import { loadIndexes, loadRecords } from "./archives.js";
 import { type ClaimRecord, packRecords, unpackRecords } from "./ClaimRecord.js";
-import { LostClaims } from "./DisplacedClaims.js";
+import { LostClaims } from "./LostClaims.js";
 import {
     type Archive,
     type Base,
--- a/packages/claims/src/lib/journal/testing/JournalSite.ts
+++ b/packages/claims/src/lib/journal/testing/JournalSite.ts
@@ -2,7 +2,7 @@
 import { ManualClock, type Outcome, seededRandom } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { type Claim, type ClaimRequest } from "../../Claims.js";
-import { type ReportedClaim } from "../../reclaim/ClaimReport.js";
+import { type ReportedClaim } from "../../recovery/ClaimReport.js";
 import { Runners } from "../../testing/Runners.js";
 import { ClaimJournal, type ClaimJournalOptions } from "../ClaimJournal.js";
 
--- a/packages/claims/src/lib/reclaim/ClaimReport.ts
+++ b/packages/claims/src/lib/recovery/ClaimReport.ts
@@ -46,7 +46,7 @@
 export type CollectReports = (request: ReportRequest) => Promise<Outcome<readonly ReportedClaim[]>>;
 
 /** The result of one attempt to recover lost claims, for logs and metrics. @public */
-export interface Reclaim {
+export interface ClaimRecovery {
     readonly series: string;
     /** The era of the store in which the recovery ran. */
     readonly era: number;
--- a/packages/claims/src/lib/reclaim/SettledEra.ts
+++ b/packages/claims/src/lib/recovery/RecoveredEra.ts
@@ -6,7 +6,7 @@
     type RecoveryMarker,
     recoveryMarkerCondition,
     recoveryMarkerWrites,
-} from "./Settlement.js";
+} from "./RecoveryMarker.js";
 
 /**
  * The era of the store in which the rows of a series were read, with the recovery marker read at that time. Commits
--- a/packages/claims/src/lib/reclaim/createReportCollector.ts
+++ b/packages/claims/src/lib/recovery/createReportCollector.ts
@@ -14,7 +14,7 @@
     readonly process: string;
     readonly address: Address;
     /** Whether the process is known to be running. If not, it is skipped when nothing listens at its address. */
-    readonly isKnown: boolean;
+    readonly isLive: boolean;
 }
 
 /** Options of {@link createReportCollector}. @public */
@@ -81,7 +81,7 @@
         const link = await links.connect(process.address);
         if (link.isErr) {
             const claims = answersOf(request).get(process.process)?.claims ?? [];
-            return process.isKnown ? missingReport(process, link.error) : Result.ok({ incarnation: "", claims });
+            return process.isLive ? missingReport(process, link.error) : Result.ok({ incarnation: "", claims });
         }
         const { incarnation } = link.value.peer;
         const earlier = answersOf(request).get(process.process);
--- a/packages/claims/src/lib/testing/ClaimSite.ts
+++ b/packages/claims/src/lib/testing/ClaimSite.ts
@@ -1,6 +1,6 @@
 import { AnsweredEra, MemoryTableStore } from "@waxwingspar/stores";
 import { ManualClock } from "@waxwingspar/utils";
-import { type ReportedClaim } from "../reclaim/ClaimReport.js";
+import { type ReportedClaim } from "../recovery/ClaimReport.js";
 import { TableClaims } from "../TableClaims.js";
 import { Runners } from "./Runners.js";
 
--- a/packages/claims/src/lib/testing/Runners.ts
+++ b/packages/claims/src/lib/testing/Runners.ts
@@ -2,7 +2,7 @@
 import { Result } from "true-myth";
 import { decodeClaim } from "../claimId.js";
 import { type Claim, type Runner } from "../Claims.js";
-import { type CollectReports, type ReportedClaim, type ReportRequest } from "../reclaim/ClaimReport.js";
+import { type CollectReports, type ReportedClaim, type ReportRequest } from "../recovery/ClaimReport.js";
 
 /**
  * Simulated runners of a site. Each runs a claim at most once and rejects claims that a report request has ruled out.
--- a/packages/cli/src/lib/daemons/AgentDaemon.ts
+++ b/packages/cli/src/lib/daemons/AgentDaemon.ts
@@ -1,4 +1,4 @@
-import { LeftClaimsStore } from "@waxwingspar/claims";
+import { FinalClaimsStore } from "@waxwingspar/claims";
 import { createObserveMethod, observeMethodName, ordersDuty, readFence } from "@waxwingspar/control";
 import { HttpEngine } from "@waxwingspar/engine";
 import { type Outcome } from "@waxwingspar/utils";
@@ -26,7 +26,7 @@
 
     constructor(private readonly base: DaemonBase, settings: Settings<"agent">) {
         const { clock, store, liveList, objects, registry, nodeOptions } = base;
-        const leftClaims = new LeftClaimsStore({ objects, clock });
+        const leftClaims = new FinalClaimsStore({ objects, clock });
         const processLinks = new ProcessLinks(nodeOptions, "agent");
         const { pool } = processLinks;
         this.part = new ConfigurationPart({
--- a/packages/cli/src/lib/daemons/EntryDaemon.ts
+++ b/packages/cli/src/lib/daemons/EntryDaemon.ts
@@ -4,7 +4,7 @@
     type ClaimOwner,
     ClaimRouter,
     createReportCollector,
-    LeftClaimsStore,
+    FinalClaimsStore,
     type ReportingProcess,
     reportMethods,
 } from "@waxwingspar/claims";
@@ -65,7 +65,7 @@
                     own: request => journals.report(request),
                     links: pool,
                 }),
-                onReclaim: createReclaimObserver(registry, nodeOptions.logger),
+                onRecovery: createReclaimObserver(registry, nodeOptions.logger),
             },
         });
         this.claims = new ClaimRouter({
@@ -75,7 +75,7 @@
             links: pool,
             clock,
         });
-        const leftClaims = new LeftClaimsStore({ objects, clock });
+        const leftClaims = new FinalClaimsStore({ objects, clock });
         this.node = new EntryNode({
             ...nodeOptions,
             processLinks: this.links,
@@ -144,10 +144,10 @@
             return undefined;
         }
         const targets = node.list("target").map(({ name, spec: { host, port } }): ReportingProcess => {
-            return { process: name, address: { host, port }, isKnown: false };
+            return { process: name, address: { host, port }, isLive: false };
         });
         const members = membership.members().map(({ process, host, port }): ReportingProcess => {
-            return { process, address: { host, port }, isKnown: true };
+            return { process, address: { host, port }, isLive: true };
         });
         const byName = new Map([...targets, ...members].map(process => [process.process, process]));
         byName.delete(this.base.nodeOptions.name);
--- a/packages/cli/src/lib/nodes/metrics.ts
+++ b/packages/cli/src/lib/nodes/metrics.ts
@@ -1,5 +1,5 @@
 import { type AgentMetrics } from "@waxwingspar/agent";
-import { type Reclaim } from "@waxwingspar/claims";
+import { type ClaimRecovery } from "@waxwingspar/claims";
 import { type EntryMetrics } from "@waxwingspar/entry";
 import { type MetricRegistry } from "@waxwingspar/telemetry";
 import { type Logger } from "pino";
@@ -40,7 +40,7 @@
 }
 
 /** Logs and counts each look for claims that the store may have lost. @internal */
-export function createReclaimObserver(registry: MetricRegistry, logger: Logger): (reclaim: Reclaim) => void {
+export function createReclaimObserver(registry: MetricRegistry, logger: Logger): (reclaim: ClaimRecovery) => void {
     const looks = registry.counter({
         name: "waxwingspar_claim_reclaims_total",
         help: "Looks for claims that the store may have lost, by outcome: settled, or refused and to be repeated.",
--- a/packages/cli/src/lib/site/LocalSite.ts
+++ b/packages/cli/src/lib/site/LocalSite.ts
@@ -240,7 +240,7 @@
             callers: this.options.callers,
             configuration: this.configuration,
             claims: new TableClaims(this.store, this.options.clock, {
-                onReclaim: createReclaimObserver(this.registry, nodeOptions.logger),
+                onRecovery: createReclaimObserver(this.registry, nodeOptions.logger),
             }),
             anonymousOrganisation: localOrganisation,
             limits: { stopLead },
--- a/packages/entry/src/lib/links/ClaimBinding.test.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.test.ts
@@ -1,4 +1,4 @@
-import { type LeftOutcome } from "@waxwingspar/claims";
+import { type FinalOutcome } from "@waxwingspar/claims";
 import { requestCodes } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import test, { type TestContext } from "node:test";
@@ -11,10 +11,10 @@
 /** An entry whose first request was claimed for target-1, which has left since then. */
 async function startLeft(
     context: TestContext,
-    outcome: LeftOutcome,
+    outcome: FinalOutcome,
 ): Promise<{ site: TestSite; asked: string[]; }> {
     const asked: string[] = [];
-    const findLeft = ({ id }: { id: string; }): Promise<LeftOutcome> => {
+    const findLeft = ({ id }: { id: string; }): Promise<FinalOutcome> => {
         asked.push(id);
         return Promise.resolve(outcome);
     };
--- a/packages/entry/src/lib/links/ClaimBinding.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.ts
@@ -1,4 +1,4 @@
-import { type Claim, type ClaimRequest, type Claims, type LeftOutcome, type LeftReply } from "@waxwingspar/claims";
+import { type Claim, type ClaimRequest, type Claims, type FinalOutcome, type StoredReply } from "@waxwingspar/claims";
 import { type Configuration } from "@waxwingspar/config";
 import { type Failure, failure, type Outcome, requestCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
@@ -23,7 +23,7 @@
 }
 
 /** Looks up what became of a claim whose runner is gone. @public */
-export type FindLeft = (claim: Claim) => Promise<LeftOutcome>;
+export type FindLeft = (claim: Claim) => Promise<FinalOutcome>;
 
 /** Runners of one claim, each gone after another, that are looked up in one attempt. */
 const maxRunnersGone = 3;
@@ -54,7 +54,7 @@
     private claim: Claim | undefined;
     private released = false;
     private earlier = false;
-    private reply: LeftReply | undefined;
+    private reply: StoredReply | undefined;
 
     constructor(options: ClaimBindingOptions) {
         this.options = options;
@@ -71,7 +71,7 @@
     }
 
     /** The answer of an earlier duplicate, once `bind` has found that its runner left it behind. */
-    get leftReply(): LeftReply | undefined {
+    get leftReply(): StoredReply | undefined {
         return this.reply;
     }
 
--- a/packages/entry/src/lib/models/interleavings.test.ts
+++ b/packages/entry/src/lib/models/interleavings.test.ts
@@ -1,5 +1,5 @@
 import { trace } from "@opentelemetry/api";
-import { type Claim, type LeftOutcome } from "@waxwingspar/claims";
+import { type Claim, type FinalOutcome } from "@waxwingspar/claims";
 import { StaticConfiguration } from "@waxwingspar/config";
 import { checkHistory, type HistoryEvent, type HistoryLine } from "@waxwingspar/history";
 import { createRetryBudget } from "@waxwingspar/policy";
@@ -33,7 +33,7 @@
     private readonly configuration = new StaticConfiguration();
     private restarts = 0;
     /** What heads wrote down when they left, by incarnation. */
-    private readonly left = new Map<string, (claim: string) => LeftOutcome>();
+    private readonly left = new Map<string, (claim: string) => FinalOutcome>();
 
     constructor() {
         this.heads = [1, 2, 3].map(index => {
@@ -56,7 +56,7 @@
         const request = toRequest(id, this.clock.now(), claimed);
         const subject = request.claim;
         const { clock, claims, configuration } = this;
-        const findLeft = ({ id, runner }: Claim): Promise<LeftOutcome> =>
+        const findLeft = ({ id, runner }: Claim): Promise<FinalOutcome> =>
             Promise.resolve(this.left.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
         const bindingOptions = { claims, links, configuration, findLeft };
         const answer = new Answer();
--- a/packages/entry/src/lib/services/ServiceCall.ts
+++ b/packages/entry/src/lib/services/ServiceCall.ts
@@ -1,6 +1,6 @@
 import { type Span, SpanKind, type Tracer } from "@opentelemetry/api";
 import { context, trace } from "@opentelemetry/api";
-import { type LeftReply } from "@waxwingspar/claims";
+import { type StoredReply } from "@waxwingspar/claims";
 import { type HistoryRecorder } from "@waxwingspar/history";
 import { type AttemptEnd, type RetryBudget, type RoutedAttempt, type Router } from "@waxwingspar/policy";
 import { traceparentOf } from "@waxwingspar/telemetry";
@@ -257,7 +257,7 @@
     }
 
     /** Answers a duplicate with what the runner of its claim left behind. Nothing runs. */
-    private repeat({ status, headers, body }: LeftReply): void {
+    private repeat({ status, headers, body }: StoredReply): void {
         this.options.sink.head(status, headers);
         this.options.sink.body(Buffer.from(body, "base64"));
         this.answered();
--- a/packages/entry/src/lib/testing/HonestHead.ts
+++ b/packages/entry/src/lib/testing/HonestHead.ts
@@ -1,4 +1,4 @@
-import { type LeftOutcome } from "@waxwingspar/claims";
+import { type FinalOutcome } from "@waxwingspar/claims";
 import { type HistoryEvent } from "@waxwingspar/history";
 import { type Message, type OpenMessage } from "@waxwingspar/transport";
 import { type Clock, requestCodes, type ResultCode } from "@waxwingspar/utils";
@@ -80,7 +80,7 @@
     }
 
     /** What it writes down about its claims if it takes nothing more from now on. What has begun counts as cut off. */
-    claimsLeft(): (claim: string) => LeftOutcome {
+    claimsLeft(): (claim: string) => FinalOutcome {
         const claims = new Map(this.claims);
         return claim => ({ kind: claims.get(claim) === undefined ? "notRun" : "unknown" });
     }
