--- a/packages/claims/src/lib/TableClaims.ts
+++ b/packages/claims/src/lib/TableClaims.ts
@@ -14,10 +14,20 @@
 import { z } from "zod";
 import { encodeClaim, keyHashOf, shortHash, unknownDigest } from "./claimId.js";
 import { type Claim, type ClaimRequest, type Claims } from "./Claims.js";
-import { type CollectReports, type Reclaim, type ReportedClaim, type ReportRequest } from "./reclaim/ClaimReport.js";
-import { firstGeneration } from "./reclaim/generations.js";
-import { conditionOf, readSettlement, type Settlement, settlementWrites } from "./reclaim/Settlement.js";
-import { strongestOfEach } from "./reclaim/strongestOfEach.js";
+import {
+    type ClaimRecovery,
+    type CollectReports,
+    type ReportedClaim,
+    type ReportRequest,
+} from "./recovery/ClaimReport.js";
+import { firstGeneration } from "./recovery/generations.js";
+import {
+    readRecoveryMarker,
+    type RecoveryMarker,
+    recoveryMarkerCondition,
+    recoveryMarkerWrites,
+} from "./recovery/RecoveryMarker.js";
+import { selectPrevailingClaims } from "./recovery/selectPrevailingClaims.js";
 
 const claimRowSchema = z.object({
     digest: z.string(),
@@ -29,55 +39,57 @@
 
 interface KnownClaim {
     readonly claim: ClaimRow;
-    /** The clock's time from which it may be forgotten. */
+    /** Clock time in milliseconds from which the claim may be evicted. */
     readonly expiry: number;
 }
 
 /** Options of {@link TableClaims}. @public */
 export interface TableClaimsOptions {
     /**
-     * Asks the other processes that may know claims which the store has lost, and the runners. By default nobody, which is right only
-     * where no other process records or runs claims.
+     * Collects the claims that the other processes and the runners know but the store may have lost. The default
+     * collects none, which is correct only if no other process records or runs claims.
      */
     readonly collectReports?: CollectReports;
-    /** Runs after each look for lost claims. */
-    readonly onReclaim?: (reclaim: Reclaim) => void;
+    /** Runs after each attempt to recover lost claims. */
+    readonly onRecovery?: (recovery: ClaimRecovery) => void;
 }
 
 const defaults = {
     collectReports: () => Promise.resolve(Result.ok<readonly ReportedClaim[], Failure>([])),
-    onReclaim: () => undefined,
+    onRecovery: () => undefined,
 };
 
-/** A row and the claim in it, read in an era of the store in which no claim is missing. */
+/** A row and its claim, read after lost claims were recovered in the same era of the store. */
 interface FoundRow {
     readonly row: Row;
     readonly claim: ClaimRow | undefined;
-    readonly settlement: Settlement | undefined;
+    readonly marker: RecoveryMarker | undefined;
     readonly era: number;
 }
 
 const tablePrefix = "claim-rows/";
-const settlementPrefix = "claim-settled";
+const markerPrefix = "claim-settled";
 const series = "table";
+/** Milliseconds after which a caller may retry. */
 const retryAfter = 1000;
-/** Claims that are remembered: as many as an agent remembers of those that it ran. */
-const mostKnown = 20_000;
+/** Claims kept in memory at most. An agent keeps the same number of the claims that it ran. */
+const maxKnownClaims = 20_000;
 
 /**
- * Claims with a row of its own for each request: the plainest way, for small sites and as the baseline of measurements.
- * It costs one write for each request and keeps every row; the store's operators delete old ones.
+ * Stores each claim in a row of its own. This simple design suits small sites and is the baseline for benchmarks. It
+ * costs one write per request and never deletes rows; operators of the store delete old ones.
  *
- * A store that came back from a copy may lack claims that it had acknowledged. Before anything is granted or told in a new era of the
- * store, one process asks all that may know such claims and writes them again.
+ * A store that was restored from an older copy may lack claims that it had acknowledged; each restore starts a new era
+ * of the store. Before any claim is granted or returned in a new era, one process collects such claims from all
+ * processes that may know them and writes them again.
  *
  * @public
  */
 export class TableClaims implements Claims {
-    /** By row key, the newest claim that the store is known to have held. */
-    private readonly known = new LRUCache<string, KnownClaim>({ max: mostKnown });
+    /** The newest claim that the store is known to have held, by row key. */
+    private readonly known = new LRUCache<string, KnownClaim>({ max: maxKnownClaims });
     private readonly options: Required<TableClaimsOptions>;
-    private settlement: Settlement | undefined;
+    private marker: RecoveryMarker | undefined;
 
     constructor(
         private readonly store: TableStore,
@@ -98,7 +110,7 @@
             return this.restore(found.value, lost, request);
         }
         if (claim !== undefined) {
-            return asksFor(request, claim) ? granted(request, claim, false) : keyReused();
+            return matchesRequest(request, claim) ? granted(request, claim, false) : keyReused();
         }
         const digest = shortHash(request.digest);
         const created = { digest, generation: this.generation(0, found.value), runner: request.runner };
@@ -119,7 +131,7 @@
         const { row, claim: present } = found.value;
         const isOutdated = this.findLost(row.key, present) !== undefined;
         if (present === undefined || isOutdated || idOf(request, present) !== claim.id) {
-            return unavailable(failure(platformCodes.conditionFailed, "the claim was moved before"));
+            return unavailable(failure(platformCodes.conditionFailed, "the claim has already been moved"));
         }
         const generation = this.generation(present.generation, found.value);
         const moved = { ...present, generation, runner: request.runner };
@@ -138,7 +150,7 @@
             .map(([key, { claim }]) => ({ ...claim, keyHash: key.slice(tablePrefix.length), state: "granted" }));
     }
 
-    /** The claim that the store has acknowledged, if it now lacks it or holds an earlier one. */
+    /** The claim that the store acknowledged, if the store now has none or an older one for the key. */
     private findLost(key: string, present: ClaimRow | undefined): ClaimRow | undefined {
         const known = this.known.get(key);
         if (known === undefined || this.clock.now() >= known.expiry) {
@@ -147,7 +159,7 @@
         return (present?.generation ?? 0) < known.claim.generation ? known.claim : undefined;
     }
 
-    /** Writes a claim again that the store had acknowledged and lacks now, so that its runner stays the only one. */
+    /** Rewrites a claim that the store acknowledged and has lost, so that no second runner is granted the request. */
     private async restore(found: FoundRow, lost: ClaimRow, request: ClaimRequest): Promise<Outcome<Claim>> {
         const written = await this.write(found, lost, request.retention);
         if (written.isErr && written.error.code !== platformCodes.conditionFailed) {
@@ -156,7 +168,7 @@
         return this.acquire(request);
     }
 
-    /** The time of recording, as wide as a series without a counter can be; it only has to grow for each key. */
+    /** Derived from the wall clock, since this series has no counter. It only has to increase for each key. */
     private generation(earlier: number, { era }: FoundRow): number {
         return Math.max(earlier + 1, firstGeneration(era) + this.clock.date().getTime());
     }
@@ -164,79 +176,79 @@
     private async read(request: ClaimRequest): Promise<Outcome<FoundRow>> {
         for (;;) {
             const { era } = this.store;
-            const settled = await this.settle(era);
-            if (settled.isErr) {
-                return Result.err(settled.error);
+            const recovered = await this.ensureRecovered(era);
+            if (recovered.isErr) {
+                return Result.err(recovered.error);
             }
             const row = await this.store.get(tablePrefix + keyHashOf(request));
             if (row.isErr) {
                 return Result.err(row.error);
             }
-            // Answers of two eras do not fit together.
+            // Reads from two eras must not be combined.
             if (this.store.era === era) {
                 const claim = claimOf(row.value);
                 this.remember(row.value.key, claim, request.retention);
-                return Result.ok({ row: row.value, claim, settlement: this.settlement, era });
+                return Result.ok({ row: row.value, claim, marker: this.marker, era });
             }
         }
     }
 
-    /** Makes sure that the store lacks no claim of an earlier era. */
-    private async settle(era: number): Promise<Outcome<void>> {
-        if (era === (this.settlement?.era ?? 0)) {
+    /** Ensures that the claims of earlier eras which the store lost have been written again. */
+    private async ensureRecovered(era: number): Promise<Outcome<void>> {
+        if (era === (this.marker?.era ?? 0)) {
             return Result.ok<void, never>(undefined);
         }
-        const known = await readSettlement(this.store, settlementPrefix);
+        const known = await readRecoveryMarker(this.store, markerPrefix);
         if (known.isErr) {
             return Result.err(known.error);
         }
         if (this.store.era !== era) {
-            return this.settle(this.store.era);
+            return this.ensureRecovered(this.store.era);
         }
         if (known.value?.era === era) {
-            this.settlement = known.value;
+            this.marker = known.value;
             return Result.ok<void, never>(undefined);
         }
-        const reclaimed = await this.reclaimAll(era, known.value);
-        const refusal = reclaimed.isErr ? reclaimed.error.message : undefined;
-        this.options.onReclaim({ series, era, reported: reclaimed.unwrapOr(0), refusal });
-        return reclaimed.isErr ? Result.err(reclaimed.error) : this.settle(era);
+        const recovered = await this.recoverAll(era, known.value);
+        const refusal = recovered.isErr ? recovered.error.message : undefined;
+        this.options.onRecovery({ series, era, reported: recovered.unwrapOr(0), refusal });
+        return recovered.isErr ? Result.err(recovered.error) : this.ensureRecovered(era);
     }
 
-    /** Writes again what processes know and the store lacks. @returns How many claims were reported. */
-    private async reclaimAll(era: number, settlement: Settlement | undefined): Promise<Outcome<number>> {
+    /** Collects the claims that processes know and rewrites those that the store lost. @returns The number reported. */
+    private async recoverAll(era: number, marker: RecoveryMarker | undefined): Promise<Outcome<number>> {
         const request = { series, before: firstGeneration(era) };
         const reports = await this.options.collectReports(request);
         if (reports.isErr) {
             return Result.err(reports.error);
         }
         const reported = [...reports.value, ...this.report(request)];
-        for (const claim of strongestOfEach(reported)) {
-            const restored = await this.reclaim(claim, era, settlement);
+        for (const claim of selectPrevailingClaims(reported)) {
+            const restored = await this.recover(claim, era, marker);
             if (restored.isErr) {
                 return Result.err(restored.error);
             }
         }
-        const settled = await this.commit(era, {
+        const committed = await this.commit(era, {
             writeId: uniqueId(),
-            conditions: [conditionOf(settlementPrefix, settlement)],
-            writes: settlementWrites(settlementPrefix, settlement, era),
+            conditions: [recoveryMarkerCondition(markerPrefix, marker)],
+            writes: recoveryMarkerWrites(markerPrefix, marker, era),
         });
-        return settled.map(() => reported.length);
+        return committed.map(() => reported.length);
     }
 
-    /** Writes a claim again that a process knows, unless the store holds it or a later one. */
-    private async reclaim(
+    /** Rewrites a reported claim unless the store holds it or a newer one. */
+    private async recover(
         claim: ReportedClaim,
         era: number,
-        settlement: Settlement | undefined,
+        marker: RecoveryMarker | undefined,
     ): Promise<Outcome<void>> {
         const row = await this.store.get(tablePrefix + claim.keyHash);
         if (row.isErr) {
             return Result.err(row.error);
         }
         const found = claimOf(row.value);
-        // One that its runner has begun stands whatever is found: the other was never granted, or has been moved away.
+        // A claim that its runner has started prevails: the stored one was never granted or has been moved away.
         if (found !== undefined && claim.state !== "ran" && found.generation >= claim.generation) {
             return Result.ok<void, never>(undefined);
         }
@@ -245,7 +257,7 @@
             writeId: uniqueId(),
             conditions: [
                 { key: row.value.key, version: row.value.version },
-                conditionOf(settlementPrefix, settlement),
+                recoveryMarkerCondition(markerPrefix, marker),
             ],
             writes: [{ key: row.value.key, value: { digest, generation, runner } }],
         });
@@ -253,14 +265,14 @@
     }
 
     private async write(
-        { row, settlement, era }: FoundRow,
+        { row, marker, era }: FoundRow,
         claim: ClaimRow,
         retention: number,
     ): Promise<Outcome<unknown>> {
         const writeId = uniqueId();
         const outcome = await this.commit(era, {
             writeId,
-            conditions: [{ key: row.key, version: row.version }, conditionOf(settlementPrefix, settlement)],
+            conditions: [{ key: row.key, version: row.version }, recoveryMarkerCondition(markerPrefix, marker)],
             writes: [{ key: row.key, value: claim }],
         });
         if (outcome.isOk || outcome.error.code !== platformCodes.storeUnknown) {
@@ -273,15 +285,15 @@
         return hasEffect ? Result.ok(effect.value) : outcome;
     }
 
-    /** Commits in an era; an answer of another era proves nothing about this one. */
+    /** Commits in an era. A response from another era does not show whether the commit took effect in this one. */
     private async commit(era: number, transaction: Transaction): Promise<Outcome<Record<string, number>>> {
         const outcome = await this.store.commit(transaction);
         return this.store.era === era
             ? outcome
-            : Result.err(failure(platformCodes.storeUnknown, "the store came back from a copy meanwhile"));
+            : Result.err(failure(platformCodes.storeUnknown, "the store was restored from a copy during the call"));
     }
 
-    /** Generations only grow, so an older claim of a copy does not replace the one that is known. */
+    /** Generations only increase, so an older claim from a copy does not replace a newer known one. */
     private remember(key: string, claim: ClaimRow | undefined, retention: number): void {
         if (claim !== undefined && claim.generation >= (this.known.get(key)?.claim.generation ?? 0)) {
             this.known.set(key, { claim, expiry: this.clock.now() + retention });
@@ -293,7 +305,7 @@
     return version === 0 ? undefined : claimRowSchema.parse(value);
 }
 
-function asksFor({ digest }: ClaimRequest, row: ClaimRow): boolean {
+function matchesRequest({ digest }: ClaimRequest, row: ClaimRow): boolean {
     return row.digest === shortHash(digest) || row.digest === unknownDigest;
 }
 
@@ -307,7 +319,7 @@
 }
 
 function keyReused(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.keyReused, "the key stands for another request"));
+    return Result.err(failure(requestCodes.keyReused, "the key was used for a different request"));
 }
 
 function unavailable(cause: Failure): Outcome<Claim> {
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -12,8 +12,8 @@
 } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type Claim, type ClaimRequest, type Claims, type Runner } from "../Claims.js";
-import { type CollectReports, type Reclaim, type ReportedClaim } from "../reclaim/ClaimReport.js";
-import { firstGeneration } from "../reclaim/generations.js";
+import { type ClaimRecovery, type CollectReports, type ReportedClaim } from "../recovery/ClaimReport.js";
+import { firstGeneration } from "../recovery/generations.js";
 import { Archiver } from "./Archiver.js";
 import { Batch } from "./Batch.js";
 import { PartitionLog } from "./PartitionLog.js";
@@ -32,37 +32,37 @@
     readonly clock: Clock;
     readonly random: Random;
     /**
-     * Takes a permit to write and returns the milliseconds to wait before using it. It holds the rate of writes; claims
+     * Takes a write permit and returns the milliseconds to wait before using it. This limits the rate of writes; claims
      * that arrive during the wait share the write.
      */
     readonly pace: () => number;
     /**
-     * Asks the processes that may know claims which the store has lost. By default nobody, which is right only where no other
-     * process records or runs claims.
+     * Collects the claims that other processes and the runners know but the store may have lost. The default collects
+     * none, which is correct only if no other process records or runs claims.
      */
     readonly collectReports?: CollectReports;
-    /** Runs after each look for lost claims. */
-    readonly onReclaim?: (reclaim: Reclaim) => void;
-    /** Milliseconds after which a call ends as `claimUnavailable`. */
-    readonly patience?: number;
-    /** Calls that may wait at the same time. */
+    /** Runs after each attempt to recover lost claims. */
+    readonly onRecovery?: (recovery: ClaimRecovery) => void;
+    /** Milliseconds after which a waiting call fails with `claimUnavailable`. */
+    readonly callTimeout?: number;
+    /** Waiting calls at most; more are refused. */
     readonly maxPending?: number;
     /** Claims in one segment at most. */
     readonly maxBatch?: number;
-    /** Claims known at most; more are refused. An old one takes 8 bytes. */
+    /** Claims of the partition at most; more are refused. An archived claim takes 8 bytes of memory. */
     readonly maxClaims?: number;
-    /** Segments after which they are moved to an archive. */
+    /** Segments after which the segments are moved to an archive. */
     readonly archiveAfter?: number;
-    /** Rows asked for in one scan. */
+    /** Rows requested in one scan. */
     readonly pageSize?: number;
-    /** Milliseconds to refuse new claims after the store refused one, unless it names a time itself. */
+    /** Milliseconds for which new claims are refused after the store refused a write without a `retryAfter`. */
     readonly refusalPause?: number;
 }
 
 const defaults = {
     collectReports: () => Promise.resolve(Result.ok<readonly ReportedClaim[], Failure>([])),
-    onReclaim: () => undefined,
-    patience: 1_000,
+    onRecovery: () => undefined,
+    callTimeout: 1_000,
     maxPending: 10_000,
     maxBatch: 500,
     maxClaims: 8_000_000,
@@ -71,16 +71,16 @@
     refusalPause: 250,
 };
 
-/** Characters of a target's or an incarnation's name that a record may hold. */
+/** Characters in a target's or an incarnation's name at most. */
 const maxNameLength = 256;
 
-/** Bounds of the wait after a failure whose outcome is unknown, in milliseconds. */
+/** Bounds in milliseconds of the back-off after a write with an unknown outcome. */
 const retryBounds = { base: 20, cap: 500 };
 
 /**
- * The claims of one partition. It appends claims to the partition's chain of segments, many in one write, and answers
- * duplicates from memory. Any number of processes may run a journal of the same partition at the same time: a segment
- * number can be written once, and only after all segments before it have been read.
+ * The claims of one partition. The journal appends claims to the partition's chain of segments, many in one write, and
+ * answers duplicates from memory. Any number of processes may run a journal of the same partition concurrently: a
+ * segment number can be written only once, and only by a process that has read all segments before it.
  *
  * @public
  */
@@ -89,62 +89,62 @@
     private readonly log: PartitionLog;
     private readonly archiver: Archiver;
     private readonly pending: PendingCalls;
-    /** Batches whose outcome is not known yet; at most one of them can become the next segment. */
+    /** Batches with an unknown outcome. At most one of them can become the next segment. */
     private undecided: Batch[] = [];
-    private fresh = false;
+    private isUpToDate = false;
     private draining = false;
     private failures = 0;
     private refusedUntil = -Infinity;
 
     constructor(options: ClaimJournalOptions) {
         this.options = { ...defaults, ...options };
-        const { clock, patience, archiveAfter, objects, table, partition, pace } = this.options;
+        const { clock, callTimeout, archiveAfter, objects, table, partition, pace } = this.options;
         this.log = new PartitionLog(this.options);
         this.archiver = new Archiver({ log: this.log, objects, table, partition, clock, pace, archiveAfter });
-        this.pending = new PendingCalls(clock, patience);
+        this.pending = new PendingCalls(clock, callTimeout);
     }
 
-    /** The name under which the partition counts generations. */
+    /** The name of the partition's generation series. */
     get series(): string {
         return this.log.state.series;
     }
 
-    /** Claims that are known. */
+    /** The number of claims in the partition, archived ones included. */
     get size(): number {
         return this.log.state.size;
     }
 
-    /** Calls that wait for a write. */
+    /** The number of calls that wait for a write. */
     get waiting(): number {
         return this.pending.size;
     }
 
     acquire(request: ClaimRequest): Promise<Outcome<Claim>> {
         const call = PendingCall.acquire(request);
-        const answer = this.log.isSettled ? call.answer(this.log.state) : undefined;
-        const known = answer ?? this.refusal(request);
+        const answer = this.log.isRecovered ? call.answer(this.log.state) : undefined;
+        const known = answer ?? this.checkLimits(request);
         return known === undefined ? this.enqueue(call) : Promise.resolve(known);
     }
 
     move(claim: Claim, request: ClaimRequest): Promise<Outcome<Claim>> {
         const call = PendingCall.move(claim, request);
         if (call === undefined) {
-            return Promise.resolve(Result.err(failure(requestCodes.malformed, "the claim is of another request")));
+            return Promise.resolve(Result.err(failure(requestCodes.malformed, "the claim belongs to another request")));
         }
         if (hasLongName(request.runner)) {
-            return Promise.resolve(longName());
+            return Promise.resolve(nameTooLong());
         }
-        // Moves are rare, and this owner may have missed an earlier one.
-        this.fresh = false;
+        // Moves are rare, and this owner may have missed an earlier one, so it reads the newest segments first.
+        this.isUpToDate = false;
         return this.enqueue(call);
     }
 
-    /** The claims that were granted lately, as far as this process knows. */
+    /** The recently granted claims that this process knows. */
     report(): readonly ReportedClaim[] {
         return this.log.reports;
     }
 
-    /** Reads the partition, so that the first claim need not wait for that. */
+    /** Loads the partition, so that the first claim need not wait for it. */
     async load(): Promise<Outcome<void>> {
         if (this.draining || this.isCurrent) {
             return Result.ok<void, never>(undefined);
@@ -156,30 +156,30 @@
         return outcome;
     }
 
-    /** Whether nothing hints that the store holds more than what was read, or less than it acknowledged. */
+    /** Whether nothing suggests that the store has segments not read yet, or lacks claims that it acknowledged. */
     private get isCurrent(): boolean {
-        return this.fresh && this.log.isSettled;
+        return this.isUpToDate && this.log.isRecovered;
     }
 
-    private refusal({ runner }: ClaimRequest): Outcome<Claim> | undefined {
+    private checkLimits({ runner }: ClaimRequest): Outcome<Claim> | undefined {
         if (hasLongName(runner)) {
-            return longName();
+            return nameTooLong();
         }
         if (this.size < this.options.maxClaims) {
             return undefined;
         }
         this.log.state.forgetExpired();
-        return unavailable("the partition holds as many claims as it may", this.options.patience);
+        return unavailable("the partition holds as many claims as it may", this.options.callTimeout);
     }
 
     private enqueue(call: PendingCall): Promise<Outcome<Claim>> {
-        const { clock, maxPending, patience } = this.options;
+        const { clock, maxPending, callTimeout } = this.options;
         const pause = this.refusedUntil - clock.now();
         if (pause > 0) {
             return Promise.resolve(unavailable("the store refuses writes", pause));
         }
         if (this.pending.size >= maxPending) {
-            return Promise.resolve(unavailable("too many claims wait for a write", patience));
+            return Promise.resolve(unavailable("too many calls wait for a write", callTimeout));
         }
         const outcome = this.pending.add(call);
         void this.drain();
@@ -198,7 +198,7 @@
         this.draining = false;
     }
 
-    /** Brings the waiting calls one write further. */
+    /** Answers the waiting calls from memory and archives, then writes one batch for the others. */
     private async step(): Promise<Outcome<void>> {
         if (!this.isCurrent) {
             const refreshed = await this.refresh();
@@ -215,14 +215,18 @@
         return this.write();
     }
 
-    /** Reads the archives that may hold the claims of waiting calls; a call whose archive cannot be read ends. */
+    /** Reads the archives that may hold the claims of waiting calls. A call whose archive cannot be read fails. */
     private async readArchives(): Promise<void> {
         const { log, pending } = this;
-        for (let hidden = pending.hidden(log.state); hidden.size > 0; hidden = pending.hidden(log.state)) {
-            for (const { archive, calls } of hidden.values()) {
-                const outcome = await log.reveal(archive, calls.map(({ keyHash }) => keyHash));
+        for (
+            let groups = pending.groupByArchive(log.state);
+            groups.size > 0;
+            groups = pending.groupByArchive(log.state)
+        ) {
+            for (const { archive, calls } of groups.values()) {
+                const outcome = await log.loadArchived(archive, calls.map(({ keyHash }) => keyHash));
                 if (outcome.isErr) {
-                    this.fresh = false;
+                    this.isUpToDate = false;
                     const refusal = unavailable(outcome.error.message, this.options.refusalPause);
                     calls.forEach(call => pending.end(call, refusal));
                 }
@@ -251,63 +255,67 @@
         const { era } = this.log;
         const outcome = await this.log.refresh();
         if (this.log.era !== era) {
-            // What was sent in an earlier era is not granted: another owner may not have seen it when it settled the partition.
+            // Batches sent in an earlier era are not granted: the owner that recovered the partition may not have seen
+            // them.
             this.undecided = [];
         }
         if (outcome.isErr) {
             return Result.err(outcome.error);
         }
-        this.fresh = true;
+        this.isUpToDate = true;
         if (outcome.value.length > 0) {
             this.decide(outcome.value);
         }
-        if (!this.log.isSettled) {
-            return this.reclaim();
+        if (!this.log.isRecovered) {
+            return this.recover();
         }
-        const written = await this.appendDisplaced();
+        const written = await this.appendLost();
         if (written.isOk) {
-            this.log.clearDisplaced();
+            this.log.clearLost();
         }
         return written;
     }
 
-    /** Looks for the claims that a copy of the store lacks, and writes them again before anything else is granted or told. */
-    private async reclaim(): Promise<Outcome<void>> {
-        const { collectReports, onReclaim } = this.options;
+    /**
+     * Collects the claims that a restored copy of the store lacks and rewrites them before any claim is granted or
+     * returned.
+     */
+    private async recover(): Promise<Outcome<void>> {
+        const { collectReports, onRecovery: onRecovery } = this.options;
         const { log: { era, state: { series } } } = this;
         const reports = await collectReports({ series, before: firstGeneration(era) });
         if (reports.isErr) {
-            onReclaim({ series, era, reported: 0, refusal: reports.error.message });
+            onRecovery({ series, era, reported: 0, refusal: reports.error.message });
             return Result.err(reports.error);
         }
         this.log.addReports(reports.value);
-        const written = await this.appendDisplaced();
-        const settled = written.isErr ? written : await this.log.append(uniqueId(), [], { settles: true });
-        if (settled.isOk) {
-            this.log.clearDisplaced();
+        const written = await this.appendLost();
+        const recovered = written.isErr ? written : await this.log.append(uniqueId(), [], { marksRecovered: true });
+        if (recovered.isOk) {
+            this.log.clearLost();
         }
-        const refusal = settled.isErr ? settled.error.message : undefined;
-        onReclaim({ series, era, reported: reports.value.length, refusal });
-        return settled;
+        const refusal = recovered.isErr ? recovered.error.message : undefined;
+        onRecovery({ series, era, reported: reports.value.length, refusal });
+        return recovered;
     }
 
-    private async appendDisplaced(): Promise<Outcome<void>> {
+    private async appendLost(): Promise<Outcome<void>> {
         const { maxBatch } = this.options;
-        const revealed = await this.log.revealDisplaced();
-        if (revealed.isErr) {
-            return revealed;
+        const loaded = await this.log.loadLostFromArchives();
+        if (loaded.isErr) {
+            return loaded;
         }
-        for (let records = this.log.nextDisplaced(maxBatch); records.length > 0;) {
+        for (let records = this.log.nextLost(maxBatch); records.length > 0;) {
             const outcome = await this.log.append(uniqueId(), records);
             if (outcome.isErr) {
                 return outcome;
             }
-            records = this.log.nextDisplaced(maxBatch);
+            records = this.log.nextLost(maxBatch);
         }
         return Result.ok<void, never>(undefined);
     }
 
-    /** A segment number has been decided: a batch that was written is granted, the others can never be written. */
+    /** Resolves the undecided batches: those that were written are granted, the others can never be written. */
     private decide(writeIds: readonly string[]): void {
         const written = new Set(writeIds);
         this.undecided.filter(({ writeId }) => written.has(writeId)).forEach(batch => batch.grant());
@@ -319,8 +327,8 @@
             this.failures = 0;
             return;
         }
-        // A call that the local budget held back has changed nothing.
-        this.fresh &&= outcome.error.code === platformCodes.budgetExhausted;
+        // A write that the local budget held back was never sent.
+        this.isUpToDate &&= outcome.error.code === platformCodes.budgetExhausted;
         if (wasRefused(outcome.error)) {
             this.refuseAll(outcome.error);
             return;
@@ -328,7 +336,7 @@
         await sleep(this.options.clock, this.retryWait(outcome.error));
     }
 
-    /** Waits for the local budget as long as it asks for, and otherwise longer with each failure. */
+    /** The wait that the local budget asks for, otherwise a back-off that increases with each failure. */
     private retryWait({ code, retryAfter }: Failure): number {
         if (code === platformCodes.budgetExhausted) {
             return Math.min(retryBounds.cap, retryAfter ?? retryBounds.cap);
@@ -338,7 +346,7 @@
 
     private refuseAll({ message, retryAfter }: Failure): void {
         const pause = retryAfter ?? this.options.refusalPause;
-        this.refusedUntil = this.options.clock.now() + Math.min(pause, this.options.patience);
+        this.refusedUntil = this.options.clock.now() + Math.min(pause, this.options.callTimeout);
         this.pending.endAll(unavailable(message, pause));
     }
 
@@ -353,11 +361,16 @@
     return Math.max(target.length, incarnation.length) > maxNameLength;
 }
 
-function longName(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.malformed, "the runner's name is too long"));
+function nameTooLong(): Outcome<Claim> {
+    return Result.err(
+        failure(
+            requestCodes.malformed,
+            `the runner's target or incarnation is longer than ${maxNameLength} characters`,
+        ),
+    );
 }
 
-/** Whether the store is down for all that is known, or lost claims cannot be looked for, so that waiting on has no use. */
+/** Whether the store seems to be down or lost claims cannot be recovered, so that waiting calls fail at once. */
 function wasRefused({ code }: Failure): boolean {
     return code === platformCodes.storeUnavailable || code === requestCodes.claimUnavailable;
 }
--- a/packages/claims/src/lib/journal/PendingCalls.ts
+++ b/packages/claims/src/lib/journal/PendingCalls.ts
@@ -12,34 +12,34 @@
 }
 
 /** Calls whose claims may be in one archive. */
-interface HiddenCalls {
+interface ArchiveGroup {
     readonly archive: Archive;
     readonly calls: PendingCall[];
 }
 
 /**
- * The calls that wait for a write, in order of arrival. Each ends by itself when its time is up.
+ * The calls that wait for a write, in order of arrival. Each fails when its timeout expires.
  *
  * @internal
  */
 export class PendingCalls {
     private readonly calls = new Map<PendingCall, Waiting>();
 
-    constructor(private readonly clock: Clock, private readonly patience: number) {}
+    constructor(private readonly clock: Clock, private readonly callTimeout: number) {}
 
     get size(): number {
         return this.calls.size;
     }
 
-    /** Lets a call wait. */
+    /** Adds a call and starts its timeout. */
     add(call: PendingCall): Promise<Outcome<Claim>> {
         return new Promise(end => {
-            const timer = this.clock.schedule(() => this.end(call, timedOut()), this.patience);
+            const timer = this.clock.schedule(() => this.end(call, timedOut()), this.callTimeout);
             this.calls.set(call, { end, timer });
         });
     }
 
-    /** Ends a call if it still waits. */
+    /** Ends a call with an outcome if it still waits. */
     end(call: PendingCall, outcome: Outcome<Claim>): void {
         const waiting = this.calls.get(call);
         if (waiting !== undefined) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Ends every call that needs no write any more. */
+    /** Ends every call that no longer needs a write. */
     answer(state: PartitionState): void {
         for (const call of this.calls.keys()) {
             const outcome = call.answer(state);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Puts the first calls into a batch; a second call of the same key waits for the outcome of the first. */
+    /** Adds the oldest calls to a batch. A second call with the same key waits for the outcome of the first. */
     fill(batch: Batch, limit: number): void {
         for (const call of this.calls.keys()) {
             if (batch.size >= limit) {
@@ -69,21 +69,21 @@
         }
     }
 
-    /** The calls that need an archive to be read first, by the archive's name. */
-    hidden(state: PartitionState): Map<string, HiddenCalls> {
-        const hidden = new Map<string, HiddenCalls>();
+    /** The calls for which an archive must be read first, by archive name. */
+    groupByArchive(state: PartitionState): Map<string, ArchiveGroup> {
+        const groups = new Map<string, ArchiveGroup>();
         for (const call of this.calls.keys()) {
-            const archive = state.hidingPlace(call.keyHash);
+            const archive = state.findArchive(call.keyHash);
             if (archive !== undefined) {
-                const group = hidden.get(archive.name) ?? { archive, calls: [] };
+                const group = groups.get(archive.name) ?? { archive, calls: [] };
                 group.calls.push(call);
-                hidden.set(archive.name, group);
+                groups.set(archive.name, group);
             }
         }
-        return hidden;
+        return groups;
     }
 
-    /** Ends every call in the same way. */
+    /** Ends every call with the same outcome. */
     endAll(outcome: Outcome<Claim>): void {
         for (const call of this.calls.keys()) {
             this.end(call, outcome);
@@ -92,5 +92,5 @@
 }
 
 function timedOut(): Outcome<Claim> {
-    return Result.err(failure(requestCodes.claimUnavailable, "the claim was not recorded in time"));
+    return Result.err(failure(requestCodes.claimUnavailable, "the claim was not recorded before the call timed out"));
 }
--- a/packages/claims/src/lib/testing/Runners.ts
+++ b/packages/claims/src/lib/testing/Runners.ts
@@ -2,17 +2,19 @@
 import { Result } from "true-myth";
 import { decodeClaim } from "../claimId.js";
 import { type Claim, type Runner } from "../Claims.js";
-import { type CollectReports, type ReportedClaim, type ReportRequest } from "../reclaim/ClaimReport.js";
+import { type CollectReports, type ReportedClaim, type ReportRequest } from "../recovery/ClaimReport.js";
 
-/** The runners of a site as the claims see them: each runs a claim once, and none that it was told not to begin any more. */
+/**
+ * Simulated runners of a site. Each runs a claim at most once and rejects claims that a report request has ruled out.
+ */
 export class Runners {
-    /** How often each key ran, over all runners. */
+    /** The number of runs of each key over all runners. */
     readonly runs = new Map<string, number>();
-    /** While false a process that may know claims does not answer. */
+    /** While false, a process that may know claims does not respond. */
     isComplete = true;
     private readonly ran = new Set<string>();
     private readonly refused = new Set<string>();
-    private readonly barred = new Map<string, number>();
+    private readonly rejectedBelow = new Map<string, number>();
     private readonly dead = new Set<string>();
 
     /** Sends a request to the runner of its claim. */
@@ -24,8 +26,8 @@
         if (this.ran.has(claim.id)) {
             return "repeated";
         }
-        const isBarred = identity.generation < (this.barred.get(identity.series ?? "") ?? 0);
-        if (isBarred || this.refused.has(claim.id)) {
+        const isRejected = identity.generation < (this.rejectedBelow.get(identity.series ?? "") ?? 0);
+        if (isRejected || this.refused.has(claim.id)) {
             this.refused.add(claim.id);
             return "refused";
         }
@@ -34,7 +36,7 @@
         return "ran";
     }
 
-    /** Refuses a claim that has not begun, so that it may be moved. */
+    /** Refuses a claim that has not started, so that it may be moved. */
     refuse(claim: Claim): boolean {
         const refuses = !this.ran.has(claim.id);
         if (refuses) {
@@ -43,23 +45,23 @@
         return refuses;
     }
 
-    /** Ends a runner, with all that it remembers. */
+    /** Stops a runner and discards its memory. */
     kill(runner: Runner): void {
         this.dead.add(nameOf(runner));
     }
 
-    /** Asks the runners, and others that may know claims. */
+    /** Collects reports from the runners and from others that may know claims. */
     collector(others: (before: number) => readonly ReportedClaim[]): CollectReports {
         return request =>
             Promise.resolve(
                 this.isComplete
                     ? Result.ok([...this.report(request), ...others(request.before)])
-                    : Result.err(failure(requestCodes.claimUnavailable, "a process does not answer")),
+                    : Result.err(failure(requestCodes.claimUnavailable, "a process does not respond")),
             );
     }
 
     private report({ series, before }: ReportRequest): ReportedClaim[] {
-        this.barred.set(series, Math.max(before, this.barred.get(series) ?? 0));
+        this.rejectedBelow.set(series, Math.max(before, this.rejectedBelow.get(series) ?? 0));
         return [...this.ran].flatMap((id): ReportedClaim[] => {
             const identity = decodeClaim(id);
             const isAsked = identity?.series === series && identity.generation < before;
