--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -18,9 +18,9 @@
 import { allMechanismsOn, type MechanismSwitch } from "./Mechanisms.js";
 import { type Moment } from "./Moment.js";
 import { GatewayMetrics, type Logs, type Observation } from "./observation/Observation.js";
-import { type TableWords } from "./peers/PeerExchange.js";
+import { chooseWatchRole } from "./peers/chooseWatchRole.js";
+import { type TableStatuses } from "./peers/PeerExchange.js";
 import { PeerGroup } from "./peers/PeerGroup.js";
-import { watchRole } from "./peers/watchRole.js";
 import { writeRefusal } from "./requests/CallerExchange.js";
 import { type WireFormat } from "./requests/messages.js";
 import { RequestRouter, type ServiceParts } from "./requests/RequestRouter.js";
@@ -31,9 +31,9 @@
 import { ServicePicker } from "./services/ServicePicker.js";
 import { EraStore } from "./store/EraStore.js";
 import { type Store } from "./store/Store.js";
-import { StoreContact } from "./store/StoreContact.js";
 import { StoreEras } from "./store/StoreEras.js";
-import { type TableWatch, type TableWord, type WatchRole } from "./store/TableWatch.js";
+import { StoreHealth } from "./store/StoreHealth.js";
+import { type TableStatus, type TableWatch, type WatchRole } from "./store/TableWatch.js";
 import { refusesConnections } from "./upstream/refusesConnections.js";
 
 /** The store's tables and keys that the gateway reads, and the decoders for their documents. */
@@ -105,7 +105,7 @@
     /** By table name. */
     private readonly watches: ReadonlyMap<string, TableWatch>;
     private hasTargetList = false;
-    private readonly contact: StoreContact;
+    private readonly contact: StoreHealth;
     private isStopping = false;
     private refusesNewRequests = false;
     private stopped: Promise<void> | undefined;
@@ -116,7 +116,7 @@
         const { eras, observation } = this;
         const store = new EraStore({ store: options.store, eras, observation });
         this.store = store;
-        this.contact = new StoreContact(this.observation);
+        this.contact = new StoreHealth(this.observation);
         const { keyRevocation } = settings;
         this.configuration = new ConfigurationInForce({
             clock,
@@ -178,10 +178,10 @@
                 slowTargets: this.paces.listObserved(),
                 crashes: this.crashes.counts.listSeen(),
                 dutyTerm: this.lease.isHeld ? this.lease.term : undefined,
-                mayTakeDuty: this.contact.isWhole && this.lease.mayAcquire && !this.isStopping,
+                mayTakeDuty: this.contact.isHealthy && this.lease.mayAcquire && !this.isStopping,
             }),
             words: () => this.words,
-            onWord: (table, tableStatus, after) => this.receiveTableStatus(table, tableStatus, after),
+            onTableStatus: (table, tableStatus, after) => this.receiveTableStatus(table, tableStatus, after),
             onSums: ({ slowTargets, crashes }) => {
                 this.paces.recordPeerReports(slowTargets);
                 this.crashes.counts.recordPeerCounts(crashes);
@@ -280,7 +280,7 @@
 
     private get watchRole(): WatchRole {
         const { isRelay, hasFollowers } = this.peers;
-        return watchRole({ isRelay, hasFollowers, hasDuty: this.lease.term !== undefined });
+        return chooseWatchRole({ isRelay, hasFollowers, hasDuty: this.lease.term !== undefined });
     }
 
     private createWatches(): ReadonlyMap<string, TableWatch> {
@@ -293,7 +293,7 @@
             table,
             contactTime: settings.contactTime,
             role: () => isOn("shared-watches") ? this.watchRole : "alone",
-            ...this.contact.listenersFor(table),
+            ...this.contact.createListeners(table),
         });
         const configurationWatch = createConfigurationWatch({
             ...createWatchOptions(tables.configurationTable),
@@ -322,16 +322,16 @@
     }
 
     /** The status of each watched table, as peers receive it. */
-    private get words(): TableWords {
-        const words = [...this.watches].flatMap(([table, { word }]) =>
+    private get words(): TableStatuses {
+        const words = [...this.watches].flatMap(([table, { status: word }]) =>
             word === undefined ? [] : [[table, word] as const]
         );
         return Object.fromEntries(words);
     }
 
-    private receiveTableStatus(table: string, tableStatus: TableWord, after: Moment): void {
+    private receiveTableStatus(table: string, tableStatus: TableStatus, after: Moment): void {
         if (this.options.isOn?.("peer-confirmations") !== false) {
-            this.watches.get(table)?.hear(tableStatus, after);
+            this.watches.get(table)?.applyPeerStatus(tableStatus, after);
         }
     }
 
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -261,7 +261,7 @@
         const due = clock.now() + delay;
         clock.schedule(() => {
             if (!this.isStopped) {
-                this.loop.note(due);
+                this.loop.record(due);
                 this.checkStalls();
                 this.scheduleCheck();
             }
--- a/packages/gateway/src/lib/chains/TargetInspector.test.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.test.ts
@@ -136,7 +136,7 @@
     await clock.advanceAsync(50);
     const due = clock.now();
     clock.stall(150);
-    loop.note(due);
+    loop.record(due);
     await clock.advanceAsync(300);
     assert.deepEqual(suspicions.list(), []);
 });
--- a/packages/gateway/src/lib/chains/TargetInspector.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.ts
@@ -126,7 +126,7 @@
         const { clock, loop } = this.options;
         const due = clock.now() + stragglerDelay;
         clock.schedule(() => {
-            const stoodStill = loop.note(due) > maxStragglerPause;
+            const stoodStill = loop.record(due) > maxStragglerPause;
             if (stoodStill && waiting.size > 0) {
                 this.waitForStragglers(waiting, onLate);
                 return;
@@ -181,12 +181,12 @@
         const askedAt = clock.now();
         const report = target === undefined ? undefined : await engines.fetchReport(target, reportTimeout);
         this.running.delete(id);
-        if (target === undefined || !directory.confirmsStart(target, report?.startedAt)) {
+        if (target === undefined || !directory.confirmsIncarnation(target, report?.startedAt)) {
             return "healthy";
         }
-        if (report === undefined && loop.stoodStillSince(askedAt) > maxReportPause) {
+        if (report === undefined && loop.blockedTimeSince(askedAt) > maxReportPause) {
             this.options.observation.logs.chains.warn(
-                { target: id, stoodStill: Math.round(loop.stoodStillSince(askedAt)) },
+                { target: id, stoodStill: Math.round(loop.blockedTimeSince(askedAt)) },
                 "missing report ignored",
             );
             return "healthy";
--- a/packages/gateway/src/lib/configuration/createConfigurationWatch.ts
+++ b/packages/gateway/src/lib/configuration/createConfigurationWatch.ts
@@ -2,11 +2,11 @@
 import { type Logger } from "pino";
 import { type Store, type StoredRow } from "../store/Store.js";
 import { TableWatch, type TableWatchOptions } from "../store/TableWatch.js";
-import { relianceWithin, watchWait } from "../store/watchWait.js";
+import { sharedWatchLimits, watchWait } from "../store/watchWait.js";
 import { type Configuration } from "./Configuration.js";
 import { type ConfigurationInForce } from "./ConfigurationInForce.js";
 
-type ForwardedOption = "onLost" | "onRegained" | "onDoubt" | "onRestored" | "role" | "eras";
+type ForwardedOption = "onLost" | "onRegained" | "onPeersStale" | "onRestored" | "role" | "eras";
 
 /** Options of {@link createConfigurationWatch}. */
 export interface ConfigurationWatchOptions extends Pick<TableWatchOptions, ForwardedOption> {
@@ -49,14 +49,14 @@
  */
 export function createConfigurationWatch(options: ConfigurationWatchOptions): TableWatch {
     const { clock, store, table, configuration, contactTime, configurationTime } = options;
-    const { role, eras, onLost, onRegained, onDoubt, onRestored } = options;
+    const { role, eras, onLost, onRegained, onPeersStale, onRestored } = options;
     const propagationTime = Math.min(contactTime, configurationTime ?? 0, maxPropagationTime);
     return new TableWatch({
         clock,
         store,
         table,
         wait: Math.min(maxWait, watchWait(contactTime)),
-        reliance: relianceWithin(propagationTime),
+        sharedWatch: sharedWatchLimits(propagationTime),
         role,
         eras,
         onSnapshot: rows => applyNewest(rows, options),
@@ -64,7 +64,7 @@
         onConfirmed: after => configuration.confirm(after),
         onLost,
         onRegained,
-        onDoubt,
+        onPeersStale,
         onRestored,
     });
 }
--- a/packages/gateway/src/lib/crashes/CrashRecords.ts
+++ b/packages/gateway/src/lib/crashes/CrashRecords.ts
@@ -80,7 +80,7 @@
     private isStopped = false;
 
     constructor(private readonly options: CrashRecordsOptions) {
-        options.eras?.onRise(() => this.handleRestoredStore());
+        options.eras?.onNewEra(() => this.handleRestoredStore());
     }
 
     /** Reads the records that were written before this process started. */
--- a/packages/gateway/src/lib/directory/TargetDirectory.test.ts
+++ b/packages/gateway/src/lib/directory/TargetDirectory.test.ts
@@ -113,7 +113,7 @@
     const { directory } = createDirectory();
     const earlier: Target = { ...target, startedAt: 1, layers: { first: 0, end: 5 } };
     directory.put(earlier);
-    assert.equal(directory.confirmsStart(earlier, 2), false);
+    assert.equal(directory.confirmsIncarnation(earlier, 2), false);
     assert.equal(directory.get("a")?.layers, undefined);
     directory.put(earlier);
     assert.equal(directory.get("a")?.layers, undefined);
@@ -125,10 +125,10 @@
     const { directory } = createDirectory();
     const later = { ...target, startedAt: 2 };
     directory.put(later);
-    assert.equal(directory.confirmsStart(later, 1), false);
-    assert.equal(directory.confirmsStart(later, 2), true);
-    assert.equal(directory.confirmsStart(later, undefined), true);
-    assert.equal(directory.confirmsStart({ ...target, startedAt: 1 }, undefined), false);
+    assert.equal(directory.confirmsIncarnation(later, 1), false);
+    assert.equal(directory.confirmsIncarnation(later, 2), true);
+    assert.equal(directory.confirmsIncarnation(later, undefined), true);
+    assert.equal(directory.confirmsIncarnation({ ...target, startedAt: 1 }, undefined), false);
 });
 
 test("a restored list brings no target back that left, is leaving, or has started again", () => {
--- a/packages/gateway/src/lib/directory/TargetDirectory.ts
+++ b/packages/gateway/src/lib/directory/TargetDirectory.ts
@@ -113,7 +113,7 @@
      * @param target - The entry with which the call to the target was made.
      * @param startedAt - The start time in the reply; undefined if it contained none, or there was no reply.
      */
-    confirmsStart(target: Target, startedAt: number | undefined): boolean {
+    confirmsIncarnation(target: Target, startedAt: number | undefined): boolean {
         if (startedAt !== undefined) {
             this.recordRestart(target.id, startedAt);
         }
--- a/packages/gateway/src/lib/directory/createTargetWatch.ts
+++ b/packages/gateway/src/lib/directory/createTargetWatch.ts
@@ -2,14 +2,14 @@
 import { type Logger } from "pino";
 import { type Store } from "../store/Store.js";
 import { TableWatch, type TableWatchOptions } from "../store/TableWatch.js";
-import { relianceWithin, watchWait } from "../store/watchWait.js";
+import { sharedWatchLimits, watchWait } from "../store/watchWait.js";
 import { type TargetDirectory } from "./TargetDirectory.js";
 import { type DecodedTarget, TargetList } from "./TargetList.js";
 
-type WatchName = "onLost" | "onRegained" | "onDoubt" | "onRestored" | "role" | "eras";
+type ForwardedOption = "onLost" | "onRegained" | "onPeersStale" | "onRestored" | "role" | "eras";
 
 /** Options of {@link createTargetWatch}. */
-export interface TargetWatchOptions extends Pick<TableWatchOptions, WatchName> {
+export interface TargetWatchOptions extends Pick<TableWatchOptions, ForwardedOption> {
     readonly clock: Clock;
     readonly store: Store;
     readonly table: string;
@@ -39,14 +39,14 @@
  */
 export function createTargetWatch(options: TargetWatchOptions): TableWatch {
     const { clock, store, table, directory, decode, logger, contactTime, drainTime } = options;
-    const { role, eras, onLost, onRegained, onDoubt, onRestored } = options;
+    const { role, eras, onLost, onRegained, onPeersStale, onRestored } = options;
     const list = new TargetList({ directory, decode, logger });
     return new TableWatch({
         clock,
         store,
         table,
         wait: watchWait(contactTime),
-        reliance: relianceWithin(Math.min(contactTime, drainTime ?? 0)),
+        sharedWatch: sharedWatchLimits(Math.min(contactTime, drainTime ?? 0)),
         role,
         eras,
         rewriteBound: contactTime - timerSlack,
@@ -58,7 +58,7 @@
         },
         onLost,
         onRegained,
-        onDoubt,
+        onPeersStale,
         onRestored,
     });
 }
--- a/packages/gateway/src/lib/duty/PaceWatch.ts
+++ b/packages/gateway/src/lib/duty/PaceWatch.ts
@@ -49,7 +49,7 @@
     private async observe(target: Target): Promise<void> {
         const { engines, paces, directory } = this.options;
         const report = await engines.fetchReport(target, reportTimeout);
-        if (report !== undefined && directory.confirmsStart(target, report.startedAt)) {
+        if (report !== undefined && directory.confirmsIncarnation(target, report.startedAt)) {
             paces.observe(target.id, report.slowdown);
         }
     }
--- a/packages/gateway/src/lib/duty/PlacementDuty.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.ts
@@ -252,7 +252,7 @@
         const report = await engines.fetchReport(target, reportTimeout);
         orderState.isCalling = false;
         orderState.nextPoll = clock.now() + pollInterval;
-        if (report !== undefined && directory.confirmsStart(target, report.startedAt)) {
+        if (report !== undefined && directory.confirmsIncarnation(target, report.startedAt)) {
             orderState.recordReport(report);
         }
     }
--- a/packages/gateway/src/lib/observation/LoopDelay.test.ts
+++ b/packages/gateway/src/lib/observation/LoopDelay.test.ts
@@ -7,9 +7,9 @@
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
     assert.equal(loop.recent, 0);
-    assert.equal(loop.note(960), 40);
+    assert.equal(loop.record(960), 40);
     clock.advance(500);
-    assert.equal(loop.note(1_495), 5);
+    assert.equal(loop.record(1_495), 5);
     assert.equal(loop.recent, 40);
     clock.advance(600);
     assert.equal(loop.recent, 5);
@@ -20,18 +20,18 @@
 test("loop delay: a timer that fires early has no delay", () => {
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
-    assert.equal(loop.note(1_002), 0);
+    assert.equal(loop.record(1_002), 0);
     assert.equal(loop.recent, 0);
 });
 
 test("loop delay: only the blocked time after the given moment counts", () => {
     const clock = new ManualClock(1_000);
     const loop = new LoopDelay(clock);
-    loop.note(900);
+    loop.record(900);
     clock.advance(100);
-    loop.note(1_070);
-    assert.equal(loop.stoodStillSince(900), 130);
-    assert.equal(loop.stoodStillSince(1_000), 30);
-    assert.equal(loop.stoodStillSince(1_080), 20);
-    assert.equal(loop.stoodStillSince(1_100), 0);
+    loop.record(1_070);
+    assert.equal(loop.blockedTimeSince(900), 130);
+    assert.equal(loop.blockedTimeSince(1_000), 30);
+    assert.equal(loop.blockedTimeSince(1_080), 20);
+    assert.equal(loop.blockedTimeSince(1_100), 0);
 });
--- a/packages/gateway/src/lib/observation/LoopDelay.ts
+++ b/packages/gateway/src/lib/observation/LoopDelay.ts
@@ -25,7 +25,7 @@
      * @param due - When the timer was due, on the clock.
      * @returns Milliseconds by which the timer is late.
      */
-    note(due: number): number {
+    record(due: number): number {
         const at = this.clock.now();
         const duration = Math.max(0, at - due);
         if (duration >= minDelay) {
@@ -42,7 +42,7 @@
     }
 
     /** Minimum milliseconds for which the event loop was blocked since a moment within the last second. */
-    stoodStillSince(moment: number): number {
+    blockedTimeSince(moment: number): number {
         return this.since(moment).reduce((sum, { at, duration }) => sum + Math.min(duration, at - moment), 0);
     }
 
--- a/packages/gateway/src/lib/peers/GroupSize.ts
+++ b/packages/gateway/src/lib/peers/GroupSize.ts
@@ -37,7 +37,7 @@
     }
 
     /** Records the number of gateways that are currently known to be alive. */
-    note(size: number): void {
+    record(size: number): void {
         while ((this.peaks.at(-1)?.size ?? Infinity) <= size) {
             this.peaks.pop();
         }
--- a/packages/gateway/src/lib/peers/PeerExchange.ts
+++ b/packages/gateway/src/lib/peers/PeerExchange.ts
@@ -1,16 +1,16 @@
 import { type Clock } from "@waxwingspar/utils";
 import { type Logger } from "pino";
 import { currentMoment, type Moment } from "../Moment.js";
-import { type TableWord } from "../store/TableWatch.js";
+import { type TableStatus } from "../store/TableWatch.js";
 import { GroupMembers, type Member } from "./GroupMembers.js";
 import { addSums, type GroupSums, sumsOf, truncateState, truncateSums, withoutMember } from "./GroupSums.js";
-import { HeardPeers, type Peer } from "./HeardPeers.js";
 import { type Heartbeat, readHeartbeat, writeHeartbeat } from "./heartbeat.js";
 import { type PeerState } from "./PeerState.js";
+import { type Peer, RecentPeers } from "./RecentPeers.js";
 import { SentHeartbeats } from "./SentHeartbeats.js";
 
 /** The known state of the store's tables, by name. */
-export type TableWords = Readonly<Record<string, TableWord>>;
+export type TableStatuses = Readonly<Record<string, TableStatus>>;
 
 /** Options of {@link PeerExchange}. */
 export interface PeerExchangeOptions {
@@ -24,9 +24,9 @@
     /** The current state of this process. */
     readonly describe: () => PeerState;
     /** The state of the store's tables as this process knows it, by name. */
-    readonly words: () => TableWords;
+    readonly words: () => TableStatuses;
     /** A peer reported the state of a table at some time after the given moment. */
-    readonly onWord?: (table: string, status: TableWord, after: Moment) => void;
+    readonly onTableStatus?: (table: string, status: TableStatus, after: Moment) => void;
     /** Called after each heartbeat with the aggregated state of the other gateways. */
     readonly onSums?: (others: GroupSums) => void;
 }
@@ -61,9 +61,9 @@
  * With direct exchange between all gateways, each of 68 gateways received 335 datagrams a second.
  */
 export class PeerExchange {
-    private readonly peers: HeardPeers;
+    private readonly peers: RecentPeers;
     /** The last sums received from relays. A new relay uses them until other gateways report to it. */
-    private readonly relayedSums: HeardPeers;
+    private readonly relayedSums: RecentPeers;
     private readonly members: GroupMembers;
     private readonly sent = new SentHeartbeats();
     private relays: readonly string[] = [];
@@ -75,8 +75,8 @@
 
     constructor(private readonly options: PeerExchangeOptions) {
         const { clock, own } = options;
-        this.peers = new HeardPeers(clock);
-        this.relayedSums = new HeardPeers(clock);
+        this.peers = new RecentPeers(clock);
+        this.relayedSums = new RecentPeers(clock);
         this.members = new GroupMembers({ clock, own });
     }
 
@@ -112,12 +112,12 @@
     }
 
     /** Adds a gateway that is listed in the store's table. */
-    learn(member: Member): void {
+    addMember(member: Member): void {
         this.members.add(member);
     }
 
     /** Sends the next heartbeats. */
-    beat(): void {
+    sendHeartbeats(): void {
         const { clock, process, describe } = this.options;
         this.peers.removeExpired();
         this.relayedSums.removeExpired();
@@ -212,7 +212,7 @@
             const knownAt = this.options.clock.now() - status.age;
             this.tableConfirmedAt.set(table, Math.max(knownAt, this.tableConfirmedAt.get(table) ?? -Infinity));
             if (echoed !== undefined) {
-                this.options.onWord?.(table, status, echoed.sent);
+                this.options.onTableStatus?.(table, status, echoed.sent);
             }
         }
     }
--- a/packages/gateway/src/lib/peers/PeerGroup.ts
+++ b/packages/gateway/src/lib/peers/PeerGroup.ts
@@ -13,7 +13,7 @@
 const memberSchema = z.object({ host: z.string(), port: z.number(), dataCentre: z.string() });
 
 /** Options of {@link PeerGroup}. */
-export interface PeerGroupOptions extends Pick<PeerExchangeOptions, "describe" | "words" | "onWord" | "onSums"> {
+export interface PeerGroupOptions extends Pick<PeerExchangeOptions, "describe" | "words" | "onTableStatus" | "onSums"> {
     readonly clock: Clock;
     readonly store: Store;
     readonly eras: StoreEras;
@@ -62,7 +62,7 @@
             send: (to, datagram) => this.send(to, datagram),
             describe: options.describe,
             words: options.words,
-            onWord: options.onWord,
+            onTableStatus: options.onTableStatus,
             onSums: options.onSums,
         });
     }
@@ -104,7 +104,7 @@
         await new Promise<void>(resolve => this.socket.bind(address.port, address.host, resolve));
         logger.info({ address }, "listening");
         this.sendHeartbeats();
-        this.stopListening = this.options.eras.onRise(() => this.registerAgain());
+        this.stopListening = this.options.eras.onNewEra(() => this.registerAgain());
         void this.join();
     }
 
@@ -176,7 +176,7 @@
         const member = memberSchema.safeParse(value);
         if (member.success) {
             const { host, port, dataCentre } = member.data;
-            this.exchange.learn({ address: `${host}:${port}`, dataCentre });
+            this.exchange.addMember({ address: `${host}:${port}`, dataCentre });
         }
     }
 
@@ -185,8 +185,8 @@
             return;
         }
         const { clock } = this.options;
-        this.exchange.beat();
-        this.size.note(this.exchange.others.members + 1);
+        this.exchange.sendHeartbeats();
+        this.size.record(this.exchange.others.members + 1);
         if (this.exchange.isIsolated && clock.now() >= this.nextRead) {
             void this.readMembers();
         }
--- a/packages/gateway/src/lib/peers/HeardPeers.test.ts
+++ b/packages/gateway/src/lib/peers/RecentPeers.test.ts
@@ -1,14 +1,14 @@
 import { ManualClock } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HeardPeers } from "./HeardPeers.js";
 import { type PeerState } from "./PeerState.js";
+import { RecentPeers } from "./RecentPeers.js";
 
 const state: PeerState = { suspects: [], slowTargets: {}, chainLoads: {}, crashes: {}, mayTakeDuty: true };
 
 function createPeers() {
     const clock = new ManualClock(50_000);
-    const peers = new HeardPeers(clock);
+    const peers = new RecentPeers(clock);
     const hear = (sequence: number, more: Partial<PeerState> = {}, incarnation = "1") =>
         peers.receive({
             process: "p",
--- a/packages/gateway/src/lib/peers/HeardPeers.ts
+++ b/packages/gateway/src/lib/peers/RecentPeers.ts
@@ -11,7 +11,7 @@
 export const peerTimeout = 1_000;
 
 /** The last heartbeat of each peer that sends to this process. It is valid until the peer times out. */
-export class HeardPeers {
+export class RecentPeers {
     private readonly peers = new Map<string, Peer>();
 
     constructor(private readonly clock: Clock) {}
--- a/packages/gateway/src/lib/peers/watchRole.ts
+++ b/packages/gateway/src/lib/peers/chooseWatchRole.ts
@@ -16,7 +16,7 @@
  * for the part of 130 targets that had been listed by then, chains had capacity for 117 instead of 131 requests, and
  * 0.85 of the requests of a day without faults were served (simulation with processor time).
  */
-export function watchRole({ isRelay, hasFollowers, hasDuty }: WatchPosition): WatchRole {
+export function chooseWatchRole({ isRelay, hasFollowers, hasDuty }: WatchPosition): WatchRole {
     if (hasFollowers) {
         return "leader";
     }
--- a/packages/gateway/src/lib/peers/heartbeat.ts
+++ b/packages/gateway/src/lib/peers/heartbeat.ts
@@ -26,7 +26,7 @@
         /** Whether `whole` includes the state that the receiver reported in that heartbeat. */
         isCounted: z.boolean(),
     })),
-    /** The state of the store's tables as the sender knows it, by name: see {@link TableWord}. */
+    /** The state of the store's tables as the sender knows it, by name: see {@link TableStatus}. */
     words: z.record(z.string(), tableStatusSchema),
     /** The state of the sender; for relays of its data centre. */
     state: z.optional(peerStateSchema),
--- a/packages/gateway/src/lib/store/EraStore.test.ts
+++ b/packages/gateway/src/lib/store/EraStore.test.ts
@@ -14,7 +14,7 @@
 function createStore() {
     const eras = new StoreEras();
     let rises = 0;
-    eras.onRise(() => void rises++);
+    eras.onNewEra(() => void rises++);
     const answers = {
         read: { kind: "read", rows: [], version: 5, era: 1 } as Read,
         watch: { kind: "changes", changes: [], version: 5, era: 1 } as Watched,
@@ -52,7 +52,7 @@
 
 test("an answer of an earlier era that comes late is not taken", async () => {
     const { eras, answers, store, write } = createStore();
-    eras.note(2);
+    eras.observe(2);
     assert.equal((await store.read("t")).kind, "unknown");
     assert.equal((await store.watch("t", 5, 0)).kind, "unknown");
     assert.equal((await write()).kind, "unknown");
--- a/packages/gateway/src/lib/store/EraStore.ts
+++ b/packages/gateway/src/lib/store/EraStore.ts
@@ -70,7 +70,7 @@
     private observeEra({ era }: StoreAnswer, version: number | undefined): string {
         const { eras, observation } = this.options;
         const before = eras.current;
-        const relation = eras.note(era);
+        const relation = eras.observe(era);
         if (relation === "newer") {
             observation.metrics.storeEras.add({});
             observation.logs.process.warn(
--- a/packages/gateway/src/lib/store/StoreEras.ts
+++ b/packages/gateway/src/lib/store/StoreEras.ts
@@ -19,13 +19,13 @@
      *
      * @returns Removes the listener.
      */
-    onRise(listener: () => void): () => void {
+    onNewEra(listener: () => void): () => void {
         this.listeners.add(listener);
         return () => void this.listeners.delete(listener);
     }
 
     /** Records a reported era. A reply without an era counts as "same". */
-    note(era: number | undefined): EraRelation {
+    observe(era: number | undefined): EraRelation {
         if (era === undefined || era === this.newest) {
             return "same";
         }
--- a/packages/gateway/src/lib/store/StoreContact.test.ts
+++ b/packages/gateway/src/lib/store/StoreHealth.test.ts
@@ -4,22 +4,22 @@
 import { test } from "node:test";
 import { GatewayMetrics } from "../observation/Observation.js";
 import { silentLogs } from "../testing/fixtures.js";
-import { StoreContact } from "./StoreContact.js";
+import { StoreHealth } from "./StoreHealth.js";
 
-function createContact(): StoreContact {
+function createHealth(): StoreHealth {
     const metrics = new GatewayMetrics(new MetricRegistry(new ManualClock()));
-    return new StoreContact({ metrics, logs: silentLogs() });
+    return new StoreHealth({ metrics, logs: silentLogs() });
 }
 
 test("the store counts as reachable until a call fails, and again once calls for all tables succeed", () => {
-    const contact = createContact();
-    const first = contact.listenersFor("a");
-    const second = contact.listenersFor("b");
-    assert.equal(contact.isWhole, true);
+    const health = createHealth();
+    const first = health.createListeners("a");
+    const second = health.createListeners("b");
+    assert.equal(health.isHealthy, true);
     first.onLost("timeout", 700);
     second.onLost("timeout", 700);
     first.onRegained(900, 900);
-    assert.equal(contact.isWhole, false);
+    assert.equal(health.isHealthy, false);
     second.onRegained(900, 900);
-    assert.equal(contact.isWhole, true);
+    assert.equal(health.isHealthy, true);
 });
--- a/packages/gateway/src/lib/store/StoreContact.ts
+++ b/packages/gateway/src/lib/store/StoreHealth.ts
@@ -2,18 +2,20 @@
 import { type TableWatchOptions } from "./TableWatch.js";
 
 /** Tracks whether this process can reach the store, from the results of the calls that follow its tables. */
-export class StoreContact {
+export class StoreHealth {
     private readonly lostTables = new Set<string>();
 
     constructor(private readonly observation: Observation) {}
 
     /** False from the first failed call until calls for every table succeed again: tables can fail independently. */
-    get isWhole(): boolean {
+    get isHealthy(): boolean {
         return this.lostTables.size === 0;
     }
 
     /** Listeners for the watch of a table, which record and log losses, recoveries and stale data. */
-    listenersFor(table: string): Required<Pick<TableWatchOptions, "onLost" | "onRegained" | "onDoubt" | "onRestored">> {
+    createListeners(
+        table: string,
+    ): Required<Pick<TableWatchOptions, "onLost" | "onRegained" | "onPeersStale" | "onRestored">> {
         const { metrics, logs } = this.observation;
         return {
             onLost: (reason, waited) => {
@@ -21,7 +23,8 @@
                 metrics.storeLosses.add({ table });
                 logs.process.warn({ table, reason, waited: Math.round(waited) }, "store lost");
             },
-            onDoubt: age => logs.process.info({ table, age: Math.round(age) }, "peers no longer confirm the table"),
+            onPeersStale: age =>
+                logs.process.info({ table, age: Math.round(age) }, "peers no longer confirm the table"),
             onRestored: doubt => {
                 metrics.tableDoubt.record(doubt, { table });
                 logs.process.info({ table, doubt: Math.round(doubt) }, "table read after a copy");
--- a/packages/gateway/src/lib/store/TableWatch.ts
+++ b/packages/gateway/src/lib/store/TableWatch.ts
@@ -2,10 +2,10 @@
 import { ageOf, currentMoment, type Moment } from "../Moment.js";
 import { type RowChange, type Store, type StoredRow, type StoreFailure } from "./Store.js";
 import { type StoreEras } from "./StoreEras.js";
-import { type Reliance } from "./watchWait.js";
+import { type SharedWatchLimits } from "./watchWait.js";
 
 /** The state of a table as one gateway knows it. Gateways send it to each other in heartbeats. */
-export interface TableWord {
+export interface TableStatus {
     /** The store version at which the table last changed. */
     readonly version: number;
     /** The store version up to which the sender has seen all changes. */
@@ -44,7 +44,7 @@
     /** The table was read again, `doubt` milliseconds after a restore of the store from a copy was detected. */
     readonly onRestored?: (doubt: number) => void;
     /** Limits for sharing the watch with peers; undefined if this process always polls the store itself. */
-    readonly reliance?: Reliance;
+    readonly sharedWatch?: SharedWatchLimits;
     /** The current role of this process. */
     readonly role?: () => WatchRole;
     /** A call failed after `waited` milliseconds, and the one before it had succeeded. */
@@ -55,7 +55,7 @@
      */
     readonly onRegained?: (outage: number, sinceFailure: number) => void;
     /** Peers' confirmations are too old, the last one `age` milliseconds: this process polls the store itself. */
-    readonly onDoubt?: (age: number) => void;
+    readonly onPeersStale?: (age: number) => void;
     /** Minimum milliseconds from sending a failed call to sending the next one. Refused calls are billed too. */
     readonly retryDelay?: number;
     /**
@@ -76,9 +76,9 @@
     | "onConfirmed"
     | "onLost"
     | "onRegained"
-    | "onDoubt"
+    | "onPeersStale"
     | "onRestored"
-    | "reliance"
+    | "sharedWatch"
     | "role"
     | "eras";
 
@@ -129,7 +129,7 @@
 
     constructor(options: TableWatchOptions) {
         this.options = { ...defaults, ...options };
-        this.stopListening = options.eras?.onRise(() => this.handleNewEra()) ?? (() => undefined);
+        this.stopListening = options.eras?.onNewEra(() => this.handleNewEra()) ?? (() => undefined);
     }
 
     /** Follows the table until {@link TableWatch.stop}. */
@@ -197,7 +197,7 @@
     }
 
     /** The state of the table to report to peers; undefined before the table has been read. */
-    get word(): TableWord | undefined {
+    get status(): TableStatus | undefined {
         const { version, changedAt, confirmedAt } = this;
         return confirmedAt === undefined || version === undefined
             ? undefined
@@ -214,8 +214,8 @@
      *
      * @param after - A moment before the peer sent its report.
      */
-    hear({ version, seen, age, era }: TableWord, after: Moment): void {
-        const isOfOtherEra = era !== undefined && this.options.eras?.note(era) === "older";
+    applyPeerStatus({ version, seen, age, era }: TableStatus, after: Moment): void {
+        const isOfOtherEra = era !== undefined && this.options.eras?.observe(era) === "older";
         if (this.version === undefined || isOfOtherEra) {
             return;
         }
@@ -248,11 +248,11 @@
         let hasFollowed = false;
         while (this.mayFollowPeers) {
             hasFollowed = true;
-            await this.pause((this.options.reliance?.bound ?? 0) - this.peerAge);
+            await this.pause((this.options.sharedWatch?.bound ?? 0) - this.peerAge);
         }
         if (hasFollowed && !this.isBehind && !this.stopped) {
             this.isPeerStateStale = true;
-            this.options.onDoubt?.(this.peerAge);
+            this.options.onPeersStale?.(this.peerAge);
         }
     }
 
@@ -268,10 +268,10 @@
     }
 
     private get mayFollowPeers(): boolean {
-        const { reliance, role } = this.options;
-        const isFollower = reliance !== undefined && role?.() === "follower";
+        const { sharedWatch, role } = this.options;
+        const isFollower = sharedWatch !== undefined && role?.() === "follower";
         const isUpToDate = this.version !== undefined && this.lostAt === undefined && !this.isBehind;
-        return isFollower && isUpToDate && !this.stopped && this.peerAge < reliance.bound;
+        return isFollower && isUpToDate && !this.stopped && this.peerAge < sharedWatch.bound;
     }
 
     private get peerAge(): number {
@@ -332,11 +332,11 @@
      * request 2.09 s after it left.
      */
     private get nextWait(): number {
-        const { wait, reliance, role } = this.options;
+        const { wait, sharedWatch, role } = this.options;
         if (this.lostAt !== undefined || this.isBehind || this.isPeerStateStale) {
             return 0;
         }
-        return role?.() === "leader" ? Math.min(wait, reliance?.wait ?? wait) : wait;
+        return role?.() === "leader" ? Math.min(wait, sharedWatch?.wait ?? wait) : wait;
     }
 
     /**
--- a/packages/gateway/src/lib/store/sharedWatches.test.ts
+++ b/packages/gateway/src/lib/store/sharedWatches.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ageOf, type Moment } from "../Moment.js";
-import { watchRole } from "../peers/watchRole.js";
+import { chooseWatchRole } from "../peers/chooseWatchRole.js";
 import { type SimulatedGateway, SimulatedGroup } from "../testing/SimulatedGroup.js";
 import { SimulatedStore } from "../testing/SimulatedStore.js";
 import { type Store, type StoreFailure } from "./Store.js";
 import { TableWatch, type WatchRole } from "./TableWatch.js";
-import { relianceWithin, watchWait } from "./watchWait.js";
+import { sharedWatchLimits, watchWait } from "./watchWait.js";
 
 /** Milliseconds within which gateways must know of a change: the smallest value at which they share watches. */
 const maxStaleness = 3_000;
@@ -74,7 +74,7 @@
             store: storeOver(this.table, path),
             table: "t",
             wait: watchWait(contactTime),
-            reliance: relianceWithin(maxStaleness),
+            sharedWatch: sharedWatchLimits(maxStaleness),
             role: () => this.role?.(gateway) ?? roleOf(gateway),
             onSnapshot: rows => {
                 follower.rows.clear();
@@ -94,7 +94,7 @@
 }
 
 function roleOf({ exchange }: SimulatedGateway): WatchRole {
-    return watchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
+    return chooseWatchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
 }
 
 function storeOver(table: SimulatedStore, path: StorePath): Store {
--- a/packages/gateway/src/lib/store/watchWait.ts
+++ b/packages/gateway/src/lib/store/watchWait.ts
@@ -19,7 +19,7 @@
 }
 
 /** Limits for a watch that uses its peers' reports instead of polling the store. */
-export interface Reliance {
+export interface SharedWatchLimits {
     /** Maximum age in milliseconds of the last confirmation by a peer; after that the watch polls the store itself. */
     readonly bound: number;
     /** Milliseconds that each call of a leader waits for changes. */
@@ -42,7 +42,7 @@
  * @param maxStaleness - Milliseconds after the store accepted a change within which a gateway must know of it.
  * @returns Undefined if each gateway must poll the store itself.
  */
-export function relianceWithin(maxStaleness: number): Reliance | undefined {
+export function sharedWatchLimits(maxStaleness: number): SharedWatchLimits | undefined {
     const bound = maxStaleness - storeCallTime;
     return bound < minBound ? undefined : { bound, wait: bound - relayTime };
 }
--- a/packages/gateway/src/lib/testing/RestoredStoreSite.ts
+++ b/packages/gateway/src/lib/testing/RestoredStoreSite.ts
@@ -8,7 +8,7 @@
 import { type DirectoryChange, TargetDirectory } from "../directory/TargetDirectory.js";
 import { PlacementLease } from "../duty/PlacementLease.js";
 import { GatewayMetrics } from "../observation/Observation.js";
-import { watchRole } from "../peers/watchRole.js";
+import { chooseWatchRole } from "../peers/chooseWatchRole.js";
 import { EraStore } from "../store/EraStore.js";
 import { type Store, type StoreFailure } from "../store/Store.js";
 import { StoreEras } from "../store/StoreEras.js";
@@ -274,5 +274,5 @@
 }
 
 function roleOf({ exchange }: SimulatedGateway) {
-    return watchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
+    return chooseWatchRole({ isRelay: exchange.isRelay, hasFollowers: exchange.hasFollowers, hasDuty: false });
 }
--- a/packages/gateway/src/lib/testing/SimulatedGroup.ts
+++ b/packages/gateway/src/lib/testing/SimulatedGroup.ts
@@ -2,9 +2,9 @@
 import { type Moment } from "../Moment.js";
 import { GroupSize } from "../peers/GroupSize.js";
 import { type GroupSums } from "../peers/GroupSums.js";
-import { PeerExchange, type TableWords } from "../peers/PeerExchange.js";
+import { PeerExchange, type TableStatuses } from "../peers/PeerExchange.js";
 import { type PeerState } from "../peers/PeerState.js";
-import { type TableWatch, type TableWord } from "../store/TableWatch.js";
+import { type TableStatus, type TableWatch } from "../store/TableWatch.js";
 import { silentLogs } from "./fixtures.js";
 
 /** Options of {@link SimulatedGroup}. */
@@ -136,9 +136,10 @@
                 send: (to, datagram) => this.send(gateway, to, datagram),
                 describe: () => ({ ...gateway.state, ...describe() }),
                 words: () => this.describeTables(gateway),
-                onWord: (name, word, after) => name === table ? recordConfirmation(gateway, word, after) : undefined,
+                onTableStatus: (name, word, after) =>
+                    name === table ? recordConfirmation(gateway, word, after) : undefined,
                 onSums: others => {
-                    gateway.size.note(others.members + 1);
+                    gateway.size.record(others.members + 1);
                     listener(others);
                 },
             }),
@@ -150,7 +151,7 @@
 
     /** Makes the first `count` gateways known to a gateway, as the store's table of members does. */
     introduce({ exchange, size }: SimulatedGateway, count = this.gateways.length): void {
-        this.gateways.slice(0, count).forEach(({ address, dataCentre }) => exchange.learn({ address, dataCentre }));
+        this.gateways.slice(0, count).forEach(({ address, dataCentre }) => exchange.addMember({ address, dataCentre }));
         size.join(exchange.knownMembers + 1);
     }
 
@@ -171,7 +172,7 @@
             this.inFlight.delete(now);
             this.runningGateways
                 .filter(({ startsAt }) => (now - startsAt) % heartbeatInterval === 0)
-                .forEach(({ exchange }) => exchange.beat());
+                .forEach(({ exchange }) => exchange.sendHeartbeats());
             if (now % 100 === 0) {
                 check();
             }
@@ -195,9 +196,9 @@
         }
     }
 
-    private describeTables({ confirmedAt, peerConfirmedAt, watch }: SimulatedGateway): TableWords {
+    private describeTables({ confirmedAt, peerConfirmedAt, watch }: SimulatedGateway): TableStatuses {
         if (watch !== undefined) {
-            return watch.word === undefined ? {} : { [table]: watch.word };
+            return watch.status === undefined ? {} : { [table]: watch.status };
         }
         const newest = Math.max(confirmedAt ?? -Infinity, peerConfirmedAt);
         return newest === -Infinity
@@ -230,8 +231,8 @@
     }
 }
 
-function recordConfirmation(gateway: SimulatedGateway, tableStatus: TableWord, after: Moment): void {
-    gateway.watch?.hear(tableStatus, after);
+function recordConfirmation(gateway: SimulatedGateway, tableStatus: TableStatus, after: Moment): void {
+    gateway.watch?.applyPeerStatus(tableStatus, after);
     gateway.peerConfirmedAt = Math.max(gateway.peerConfirmedAt, after.now - tableStatus.age);
 }
 
