--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -90,10 +90,7 @@
 const maxCheckPause = 90;
 /** Milliseconds for which a stalled chain gets no new requests, unless a survey finds a faulty target. */
 const stallAvoidanceTime = 1_500;
-/**
- * Milliseconds between two surveys of a chain: reports have a price, and recovering a lost range takes longer than
- * this.
- */
+/** Milliseconds between two surveys of a chain: reports have a price, and recovering a lost range takes longer. */
 const surveyInterval = 500;
 /** HTTP status of a target that does not hold the layers that it was asked to run. */
 const misdirectedStatus = 421;
@@ -127,10 +124,7 @@
         return this.chooseHealthy(failed) ?? this.router.choose(this.options.engine, failed);
     }
 
-    /**
-     * Like {@link ChainService.choose}, but never a chain that stalled recently: a retry there would waste retry
-     * budget.
-     */
+    /** Like {@link ChainService.choose}, but never a recently stalled chain: a retry there would waste retry budget. */
     chooseHealthy(failed: ReadonlySet<string>): ChainLoad | undefined {
         return this.router.chooseHealthy(this.options.engine, failed);
     }
@@ -140,9 +134,7 @@
         return this.router.chooseToResume(this.options.engine, failed);
     }
 
-    /**
-     * Like {@link ChainService.chooseHealthy}, but never a full chain: a queued request gains nothing from another queue.
-     */
+    /** Like {@link ChainService.chooseHealthy}, but never a full chain: a queued request gains nothing there. */
     chooseWithRoom(failed: ReadonlySet<string>): ChainLoad | undefined {
         const load = this.chooseHealthy(failed);
         return load !== undefined && this.router.hasRoom(load) ? load : undefined;
--- a/packages/gateway/src/lib/chains/fillGaps.ts
+++ b/packages/gateway/src/lib/chains/fillGaps.ts
@@ -67,10 +67,7 @@
     return covered;
 }
 
-/**
- * Extends the last range up to a bound, within the capacity of its target. @returns The first layer that is not
- * covered.
- */
+/** Extends the last range up to a bound, within the capacity of its target. @returns The first uncovered layer. */
 function extendLast(
     placements: Placement[],
     bound: number,
--- a/packages/gateway/src/lib/crashes/CrashDetector.ts
+++ b/packages/gateway/src/lib/crashes/CrashDetector.ts
@@ -31,9 +31,7 @@
  * it is left out.
  */
 export class CrashDetector {
-    /**
-     * Interrupted runs by the incarnation of their target. A crash interrupts many runs, and one check covers them all.
-     */
+    /** Interrupted runs by the incarnation of their target: one check covers all runs that a crash interrupts. */
     private readonly waiting = new Map<string, InterruptedRun[]>();
 
     constructor(private readonly options: CrashDetectorOptions) {}
--- a/packages/gateway/src/lib/crashes/CrashGuard.ts
+++ b/packages/gateway/src/lib/crashes/CrashGuard.ts
@@ -33,9 +33,7 @@
  * Number of crashes from which a request is suspect; the guarantee of at most three more runs starts with the third.
  */
 const suspectThreshold = 3;
-/**
- * Maximum number of runs without a reply that a crash interrupts for each of them to be recorded as a possible cause.
- */
+/** Maximum number of runs without a reply for which a crash is recorded as possibly caused by each of them. */
 const maxRecordedRuns = 6;
 /**
  * Milliseconds after the start of a reply from which the run counts as successful: a request that crashes targets does
@@ -47,9 +45,7 @@
 /** Milliseconds after which a caller may retry: after its request got no turn, or while the store was unavailable. */
 const turnRetryAfter = 500;
 const storeRetryAfter = 1_000;
-/**
- * Milliseconds after which a caller may retry when no target was available: a crashed target restarts within seconds.
- */
+/** Milliseconds after which a caller may retry when no target was available; crashed targets restart within seconds. */
 const noTargetRetryAfter = 1_500;
 
 /**
--- a/packages/gateway/src/lib/crashes/CrashRecords.ts
+++ b/packages/gateway/src/lib/crashes/CrashRecords.ts
@@ -55,10 +55,7 @@
 /** Maximum number of attempts of a write that conflicts with writes of other gateways. */
 const maxWriteAttempts = 6;
 const maxKnown = 1_000;
-/**
- * Maximum number of rows that a process removes at its start, so that many simultaneous starts do not overload the
- * store.
- */
+/** Maximum number of rows that a process removes at its start, so that parallel starts do not overload the store. */
 const maxRemoved = 20;
 /** Milliseconds between two reads of the table, so that a series of crashes does not overload the store. */
 const readInterval = 2_000;
--- a/packages/gateway/src/lib/duty/DataCentreChain.ts
+++ b/packages/gateway/src/lib/duty/DataCentreChain.ts
@@ -37,10 +37,7 @@
         return new Set(this.usedAt.keys());
     }
 
-    /**
-     * Whether the data centre has had no complete chain for so long that it should no longer wait for targets to
-     * return.
-     */
+    /** Whether the data centre has had no complete chain for longer than targets are given to return. */
     get hasLongOutage(): boolean {
         return this.clock.now() - this.lastCompleteAt > shiftDelay;
     }
--- a/packages/gateway/src/lib/duty/PlacementDuty.ts
+++ b/packages/gateway/src/lib/duty/PlacementDuty.ts
@@ -54,9 +54,7 @@
  */
 const maxSettleTime = 8_000;
 
-/**
- * Plans the layers of all targets and orders the targets to load them, while this process holds the placement lease.
- */
+/** Plans the layers of all targets and sends the targets their orders, while this process holds the placement lease. */
 export class PlacementDuty {
     /** By incarnation of the target. */
     private readonly orderStates = new Map<string, TargetOrderState>();
@@ -137,10 +135,7 @@
         }
     }
 
-    /**
-     * Returns the ready targets that no quorum of gateways suspects, with the layers that they hold or are about to
-     * hold.
-     */
+    /** Returns the ready targets that no quorum of gateways suspects, with the layers that they hold or will hold. */
     private usableTargets(service: string): Target[] {
         const { directory, suspicions, peers } = this.options;
         const { suspects, members } = peers.others;
--- a/packages/gateway/src/lib/duty/TargetOrderState.ts
+++ b/packages/gateway/src/lib/duty/TargetOrderState.ts
@@ -2,9 +2,7 @@
 import { type EngineReport } from "../chains/EngineControl.js";
 import { type LayerRange, sameRange, type Target } from "../directory/Target.js";
 
-/**
- * Milliseconds after which an order without effect is sent again; the order count makes the target refuse a late one.
- */
+/** Milliseconds after which an order without effect is sent again; the target refuses a late one by its order count. */
 const orderEffectTimeout = 4_000;
 /** Milliseconds for which a report of an order in progress stays valid without a newer one. */
 const busyReportLifetime = 2_000;
