--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Leased control duties: placement, rollout, weight loads.
+ * Control tasks that run under a lease: placement, rollout and the loading of weights.
  *
  * @packageDocumentation
  */
@@ -24,7 +24,6 @@
 export { type PlanOptions, planSite } from "./lib/rollout/planSite.js";
 export { type RowCondition, SiteDuty, type SiteDutyOptions, type SiteStatus } from "./lib/rollout/SiteDuty.js";
 export {
-    type Leftover,
     type PlacementChange,
     type SiteAdapter,
     type SiteModel,
@@ -33,4 +32,5 @@
     type SitePlan,
     type SiteTarget,
     type SiteView,
+    type UnneededVersion,
 } from "./lib/rollout/SiteView.js";
--- a/packages/control/src/lib/leases/DutyRunner.test.ts
+++ b/packages/control/src/lib/leases/DutyRunner.test.ts
@@ -51,7 +51,7 @@
     assert.ok(perDutyMinute <= 60, `${perDutyMinute} calls per duty and minute`);
 });
 
-test("a stopped holder is followed at once, a dead one after the lease", async () => {
+test("another process takes over at once when the holder stops", async () => {
     const { clock, runners, members } = fleet(6);
     runners.forEach(runner => runner.start());
     await clock.advanceAsync(20_000, 100);
@@ -63,7 +63,7 @@
     assert.ok(second >= 0 && second !== first);
 });
 
-test("other data centres stand in when a data centre has too few processes", async () => {
+test("processes of other data centres take over when a data centre has too few", async () => {
     const { clock, runners, members } = fleet(12);
     members.forEach((found, index) => members[index] = { ...found, leaving: found.dataCentre === "a" });
     runners.forEach(runner => runner.start());
@@ -72,7 +72,7 @@
     assert.deepEqual(holders.map(({ dataCentre }) => dataCentre), ["b"]);
 });
 
-test("work that throws does not end the duty", async () => {
+test("a tick that throws does not end the duty", async () => {
     const { clock, runners, ticks } = fleet(1, ["broken"]);
     runners[0]!.start();
     await clock.advanceAsync(20_000, 100);
--- a/packages/control/src/lib/leases/DutyRunner.ts
+++ b/packages/control/src/lib/leases/DutyRunner.ts
@@ -5,30 +5,30 @@
 import { rendezvousOrder } from "./rendezvous.js";
 
 /**
- * Work that one process at a time does for all.
+ * A control task that one process at a time performs for the whole system, under a lease.
  *
  * @public
  */
 export interface Duty {
     readonly name: string;
-    /** The data centre whose processes are asked first, for a duty that belongs to one. */
+    /** The data centre whose processes are preferred as candidates, for a duty that belongs to one. */
     readonly dataCentre?: string;
     /**
-     * Does a short piece of the work. It is called again and again while the lease is held, never twice at a time, and
-     * passes every act through {@link Lease.checked}.
+     * Performs one short step. Called periodically while the lease is held, and never concurrently. Every external
+     * effect must go through {@link Lease.checked}.
      */
     tick(lease: Lease): Promise<void>;
 }
 
 /**
- * A process that may hold duties.
+ * A process that is eligible to hold duties.
  *
  * @public
  */
 export interface DutyMember {
     readonly process: string;
     readonly dataCentre: string;
-    /** True once the process takes no new duties. */
+    /** True once the process no longer accepts new duties. */
     readonly leaving: boolean;
 }
 
@@ -44,15 +44,15 @@
     readonly process: string;
     readonly incarnation: string;
     readonly duties: readonly Duty[];
-    /** The processes known now. The list may lag; lists of two processes may differ. */
+    /** Returns the currently known processes. The list may be stale and may differ between processes. */
     readonly members: () => readonly DutyMember[];
-    /** How many processes poll the lease of one duty. */
+    /** Number of processes that poll the lease of one duty. */
     readonly candidates?: number;
-    /** Milliseconds that a lease lasts from each renewal. */
+    /** Milliseconds that a lease is valid after each renewal. */
     readonly duration?: number;
-    /** Milliseconds between two pieces of work. */
+    /** Milliseconds between the end of one tick and the start of the next. */
     readonly interval?: number;
-    /** Is told of a piece of work that threw, which is a fault of the program. The duty goes on with the next. */
+    /** Called when a tick throws, which indicates a bug. The duty continues with the next tick. */
     readonly onFault?: (duty: string, error: unknown) => void;
 }
 
@@ -68,8 +68,9 @@
 const pollsPerDuration = 3;
 
 /**
- * Takes part in the control duties: polls the lease of each duty for which this process is a candidate, and does the
- * duty's work while it holds the lease. Any entry or agent can run one; losing it costs a lease period and no traffic.
+ * Polls the lease of each duty for which this process is a candidate, and runs the duty's ticks while it holds the
+ * lease. Any entry or agent can run one. Losing the holder delays the duty by one lease duration and affects no
+ * traffic.
  *
  * @public
  */
@@ -84,7 +85,7 @@
         this.running = options.duties.map(duty => this.prepare(duty));
     }
 
-    /** Starts to poll. The first poll is spread over the poll interval, so that a restarted fleet does not poll at once. */
+    /** Starts polling. The first poll has a random delay, so that processes restarted together do not poll together. */
     start(): void {
         for (const running of this.running) {
             this.schedulePoll(running, this.options.random.next() * this.pollInterval);
@@ -92,12 +93,12 @@
         }
     }
 
-    /** The duties whose leases this process holds now. */
+    /** Returns the names of the duties whose leases this process currently holds. */
     held(): string[] {
         return this.running.filter(({ lease }) => lease.isHeld()).map(({ duty }) => duty.name);
     }
 
-    /** Ends the pieces of work in progress, then gives up the leases, so that others can take them at once. */
+    /** Waits for the ticks in progress, then releases the leases, so that other processes can acquire them at once. */
     async stop(): Promise<void> {
         this.stopped = true;
         for (const running of this.running) {
@@ -167,8 +168,8 @@
     }
 
     /**
-     * Processes of the duty's own data centre go first; those of others stand in when it has too few. Weights are worked
-     * out only for the group that decides, since this runs for every duty in every process.
+     * Prefers processes of the duty's own data centre and uses others only when it has too few. Hash weights are
+     * computed only for the group that determines the result, since this runs for every duty in every process.
      */
     private isCandidate(duty: Duty): boolean {
         const { process, candidates } = this.options;
--- a/packages/control/src/lib/leases/Lease.test.ts
+++ b/packages/control/src/lib/leases/Lease.test.ts
@@ -14,7 +14,7 @@
     return new Lease({ store, clock, duty: "orders/a", holder, incarnation: `${holder}-1`, duration });
 }
 
-/** An agent's gate: the act itself. It knows no fence after a restart until it has read one. */
+/** The check in an agent that refuses orders with an old fence. After a restart it reads the fence from the store. */
 class Gate {
     readonly applied: number[] = [];
     private highest: number | undefined;
@@ -108,7 +108,7 @@
             }
         }
 
-        /** The order is on its way, and arrives only after whatever follows. */
+        /** Queues the order, so that it is delivered only by a later `act` step. */
         async function pauseBeforeSending(sent: number): Promise<Outcome<void>> {
             paused.push(sent);
             return Result.ok(undefined);
@@ -133,7 +133,7 @@
     assert.ok(orders > 100, `only ${orders} orders reached the gate`);
 });
 
-/** Once faults have ended, somebody holds the lease before long. */
+/** Checks that exactly one process holds the lease within a few polls after all faults have ended. */
 async function assertRecovers(store: ScriptedStore, clock: ManualClock, leases: readonly Lease[]): Promise<void> {
     store.up = true;
     store.setStale(false);
@@ -163,7 +163,7 @@
     assert.equal(lease.fence, undefined);
 });
 
-test("lost answer of a take is found by its write id", async () => {
+test("an acquisition whose response is lost is found by its write id", async () => {
     const clock = new ManualClock();
     const store = new ScriptedStore();
     const lease = makeLease(store, clock, "p");
@@ -191,7 +191,7 @@
     assert.equal(other.fence, 2);
 });
 
-test("a released lease is free at once", async () => {
+test("a released lease can be acquired at once", async () => {
     const clock = new ManualClock();
     const store = new ScriptedStore();
     const [holder, other] = [makeLease(store, clock, "p"), makeLease(store, clock, "q")];
--- a/packages/control/src/lib/leases/Lease.ts
+++ b/packages/control/src/lib/leases/Lease.ts
@@ -3,7 +3,7 @@
 import { Result } from "true-myth";
 import { commitResolved } from "../support/commitResolved.js";
 import { withDefaults } from "../support/withDefaults.js";
-import { fenceKey, leaseKey, type LeaseValue, lowestFence, parseLease, termKey } from "./leaseRow.js";
+import { fenceFloor, fenceKey, leaseKey, type LeaseValue, parseLease, termKey } from "./leaseRow.js";
 
 /**
  * Options of {@link Lease}.
@@ -19,50 +19,50 @@
     readonly holder: string;
     /** Unique for each start of this process. */
     readonly incarnation: string;
-    /** Milliseconds that the lease lasts from each renewal. */
+    /** Milliseconds that the lease is valid after each renewal. */
     readonly duration?: number;
     /**
-     * How much longer than the lease's duration an observer waits before it takes the lease over, as a factor. It
-     * covers monotonic clocks that do not run at quite the same speed.
+     * Multiple of the lease duration for which another process must see no renewal before it takes the lease over. The
+     * margin above 1 covers differences in speed between the monotonic clocks of two processes.
      */
-    readonly patience?: number;
-    /** Creates the id of each write. */
+    readonly takeoverFactor?: number;
+    /** Creates a unique id for each write. */
     readonly writeId?: () => string;
 }
 
-/** A row version that this process has seen, and since when. */
+/** The latest row version that this process has read, and the monotonic time at which it first read it. */
 interface Observation {
     readonly version: number;
     readonly since: number;
 }
 
-/** What a write of the lease rests on. */
-interface Basis {
-    /** The version of the lease's row. */
+/** The state that was read from the store before a write of the lease, and on which the write depends. */
+interface LeaseSnapshot {
+    /** The version of the lease row. */
     readonly version: number;
-    /** The row of the term that the lease's row tells of; undefined while there is none. */
+    /** The term row of the fence in the lease row; undefined if the lease has no value. */
     readonly term: Row | undefined;
-    /** The era of the store in which both were read. */
+    /** The era of the store in which both rows were read. */
     readonly era: number;
 }
 
-/** The lease as this process holds it. */
+/** The state of a lease that this process holds. */
 interface Holding {
-    /** The version of the row, or undefined while a renewal's effect is unknown. */
+    /** The version of the lease row, or undefined if the row has to be read again. */
     readonly version: number | undefined;
     readonly fence: number;
-    /** The version of the row of its term. */
+    /** The version of the term row. */
     readonly term: number;
-    /** The monotonic time from which on another process may hold the lease. */
+    /** The monotonic time after which another process may hold the lease. */
     readonly expires: number;
 }
 
 const defaultDuration = 10_000;
-const defaultPatience = 1.1;
+const defaultTakeoverFactor = 1.1;
 
 /**
- * A leased role that one process holds at a time, as far as clocks allow. Two holders at once are possible after a
- * pause, and harmless: every order carries the fence, and the older one is refused where the order is carried out.
+ * A lease that one process holds at a time. After a process pause, two processes may both act as the holder. This is
+ * harmless: every order carries the fencing token (fence), and the receiver refuses orders with an older one.
  *
  * @public
  */
@@ -71,35 +71,35 @@
     private readonly options: Required<LeaseOptions>;
     private observed: Observation | undefined;
     private holding: Holding | undefined;
-    /** Counts releases, so that a renewal that is answered after a release does not revive the lease. */
+    /** Counts releases, so that a renewal whose response arrives after a release does not restore the lease. */
     private releases = 0;
 
     constructor(options: LeaseOptions) {
         this.duty = options.duty;
-        const defaults = { duration: defaultDuration, patience: defaultPatience, writeId: uniqueId };
+        const defaults = { duration: defaultDuration, takeoverFactor: defaultTakeoverFactor, writeId: uniqueId };
         this.options = withDefaults(defaults, options);
     }
 
-    /** Milliseconds that the lease lasts from each renewal. */
+    /** Milliseconds that the lease is valid after each renewal. */
     get duration(): number {
         return this.options.duration;
     }
 
-    /** The fence to put on orders, or undefined if the lease is not held now. */
+    /** The fencing token that orders must carry, or undefined if the lease is not held. */
     get fence(): number | undefined {
         return this.isHeld() ? this.holding?.fence : undefined;
     }
 
-    /** True while no other process can hold the lease. Reads the monotonic clock on every call. */
+    /** Returns true while no other process can hold the lease. Reads the monotonic clock on every call. */
     isHeld(): boolean {
         return this.holding !== undefined && this.options.clock.now() < this.holding.expires;
     }
 
     /**
-     * Renews the lease if this process has it, or else looks whether it can be taken. To be called at a third of the
+     * Renews the lease if this process holds it; otherwise tries to acquire it. Must be called every third of the lease
      * duration.
      *
-     * @returns True if the lease is held; a failure of the store otherwise.
+     * @returns Whether this process holds the lease, or the failure of the store.
      */
     async poll(): Promise<Outcome<boolean>> {
         const releases = this.releases;
@@ -119,19 +119,19 @@
             if (releases !== this.releases) {
                 return Result.ok(false);
             }
-            // Answers of two eras do not fit together.
+            // A row read across a change of era may belong to either one, so it is read again.
             if (store.era === era) {
-                return this.decide(row.value, era);
+                return this.acquireOrRenew(row.value, era);
             }
         }
     }
 
     /**
-     * Runs an action if the lease is still held at this very moment. Nothing is awaited between the check and the
-     * action, so only a pause of the whole process can come between, which the fence covers.
+     * Runs an action if the lease is held. Nothing is awaited between the check and the action, so only a pause of the
+     * whole process can separate them; the fence protects against that case.
      *
      * @param action - Receives the fence that its orders must carry.
-     * @returns The action's outcome, or `leaseLost` if it was not called.
+     * @returns The action's outcome, or `leaseLost` if the lease is not held and the action was not called.
      */
     checked<T>(action: (fence: number) => Promise<Outcome<T>>): Promise<Outcome<T>> {
         const fence = this.fence;
@@ -142,8 +142,9 @@
     }
 
     /**
-     * Gives the lease up before its end, so that another process can take it at once. From the call on the lease is
-     * not held, whatever the store answers; a lost write only means that the next holder waits for the whole duration.
+     * Releases the lease before it expires, so that another process can acquire it at once. The lease counts as not
+     * held as soon as this is called, whatever the store answers. If the write is lost, the next holder waits for the
+     * expiry.
      */
     async release(): Promise<Outcome<void>> {
         const held = this.holding;
@@ -158,33 +159,37 @@
         return written.map(() => undefined);
     }
 
-    /** Takes the next step from the row as it was read just now. */
-    private async decide(row: Row, era: number): Promise<Outcome<boolean>> {
+    /** Renews, acquires or leaves the lease, depending on the row that has just been read. */
+    private async acquireOrRenew(row: Row, era: number): Promise<Outcome<boolean>> {
         const value = parseLease(row);
         const isOwn = value !== undefined && !value.released && this.isOwn(value);
         if (!isOwn) {
             this.holding = undefined;
         }
-        if (!isOwn && !this.mayTake(row, value)) {
+        if (!isOwn && !this.mayAcquire(row, value)) {
             return Result.ok(false);
         }
         const { releases } = this;
-        const basis = await this.readBasis(row.version, value, era);
-        if (basis.isErr) {
-            return Result.err(basis.error);
+        const snapshot = await this.readSnapshot(row.version, value, era);
+        if (snapshot.isErr) {
+            return Result.err(snapshot.error);
         }
         if (this.options.store.era !== era || releases !== this.releases) {
             return Result.ok(false);
         }
-        if (isOwn && this.isConfirmed(value.fence, basis.value)) {
-            const term = basis.value.term?.version ?? 0;
+        if (isOwn && this.isFenceExclusive(value.fence, snapshot.value)) {
+            const term = snapshot.value.term?.version ?? 0;
             return this.renew({ version: undefined, fence: value.fence, term, expires: -Infinity }, row.version);
         }
         this.holding = undefined;
-        return this.take(value, basis.value);
+        return this.acquire(value, snapshot.value);
     }
 
-    private async readBasis(version: number, value: LeaseValue | undefined, era: number): Promise<Outcome<Basis>> {
+    private async readSnapshot(
+        version: number,
+        value: LeaseValue | undefined,
+        era: number,
+    ): Promise<Outcome<LeaseSnapshot>> {
         if (value === undefined) {
             return Result.ok({ version, term: undefined, era });
         }
@@ -192,9 +197,12 @@
         return term.map(row => ({ version, term: row, era }));
     }
 
-    /** Whether a fence is this process's alone: one that was taken as the store came back from a copy may be another's, too. */
-    private isConfirmed(fence: number, { term, era }: Basis): boolean {
-        return term !== undefined && term.version > 0 && (this.holding?.fence === fence || fence > lowestFence(era));
+    /**
+     * Checks that no other process can have been given the same fence. A fence acquired while the store was restored
+     * from a copy may also have been given to another process.
+     */
+    private isFenceExclusive(fence: number, { term, era }: LeaseSnapshot): boolean {
+        return term !== undefined && term.version > 0 && (this.holding?.fence === fence || fence > fenceFloor(era));
     }
 
     private isOwn(value: LeaseValue): boolean {
@@ -202,10 +210,10 @@
     }
 
     /**
-     * Tells whether the lease is free. The holder counts from before it sent its renewal, and this process from after
-     * it has read the renewed row, so the holder's count ends first.
+     * Checks whether the lease is free. The holder measures the duration from before it sends a renewal, and this
+     * process from after it has read the renewed row, so the lease expires for the holder first.
      */
-    private mayTake(row: Row, value: LeaseValue | undefined): boolean {
+    private mayAcquire(row: Row, value: LeaseValue | undefined): boolean {
         if (value === undefined || value.released) {
             return true;
         }
@@ -214,13 +222,18 @@
             this.observed = { version: row.version, since: now };
             return false;
         }
-        return now - this.observed.since >= value.duration * this.options.patience;
+        return now - this.observed.since >= value.duration * this.options.takeoverFactor;
     }
 
-    /** Writes this process as the holder with a new fence, on condition that nobody else has taken the lease. */
-    private async take(value: LeaseValue | undefined, { version, term, era }: Basis): Promise<Outcome<boolean>> {
+    /**
+     * Writes this process as the holder with a new fence, on condition that no other process has acquired the lease.
+     */
+    private async acquire(
+        value: LeaseValue | undefined,
+        { version, term, era }: LeaseSnapshot,
+    ): Promise<Outcome<boolean>> {
         const key = leaseKey(this.duty);
-        const fence = Math.max(value?.fence ?? 0, lowestFence(era)) + 1;
+        const fence = Math.max(value?.fence ?? 0, fenceFloor(era)) + 1;
         const taken = termKey(this.duty, fence);
         const conditions = [{ key, version }];
         const writes: Transaction["writes"] = [
@@ -232,9 +245,9 @@
             conditions.push({ key: term.key, version: term.version });
             writes.push({ key: term.key });
         }
-        return this.hold(conditions, writes, versions => {
+        return this.commitHolding(conditions, writes, versions => {
             const isSameEra = this.options.store.era === era;
-            // A fence of the era before may have been given to another process that the copy does not know.
+            // A fence of the previous era may also belong to a process whose acquisition the restored copy lacks.
             return isSameEra ? { version: versions[key], fence, term: versions[taken] ?? 0 } : undefined;
         });
     }
@@ -243,7 +256,7 @@
         const key = leaseKey(this.duty);
         const { fence, term } = held;
         const writes = [{ key, value: this.value(fence) }];
-        return this.hold(
+        return this.commitHolding(
             this.ownConditions(held, version),
             writes,
             versions => ({ version: versions[key], fence, term }),
@@ -254,11 +267,11 @@
         return [{ key: leaseKey(this.duty), version }, { key: termKey(this.duty, fence), version: term }];
     }
 
-    /** Commits, and holds the lease from before that was sent, if it took effect. */
-    private async hold(
+    /** Commits a transaction. If it takes effect, holds the lease for its duration from before the commit was sent. */
+    private async commitHolding(
         conditions: Transaction["conditions"],
         writes: Transaction["writes"],
-        holdingOf: (versions: Record<string, number>) => Omit<Holding, "expires"> | undefined,
+        toHolding: (versions: Record<string, number>) => Omit<Holding, "expires"> | undefined,
     ): Promise<Outcome<boolean>> {
         const sent = this.options.clock.now();
         const releases = this.releases;
@@ -267,25 +280,25 @@
             return Result.ok(false);
         }
         if (written.isOk) {
-            const holding = holdingOf(written.value);
+            const holding = toHolding(written.value);
             this.holding = holding && { ...holding, expires: sent + this.options.duration };
             return Result.ok(this.isHeld());
         }
         if (written.error.code === platformCodes.conditionFailed) {
-            this.loseVersion();
+            this.forgetVersion();
             return Result.ok(false);
         }
         if (written.error.code === platformCodes.storeUnknown) {
-            this.loseVersion();
+            this.forgetVersion();
         }
         return Result.err(written.error);
     }
 
     /**
-     * Forgets the row's version, so that the next step reads the row. The lease itself stays held until it expires: the
-     * write that changed the row may have been an earlier renewal of this process.
+     * Forgets the version of the lease row, so that the next poll reads the row. The lease stays held until it expires,
+     * since the write that changed the row may have been an earlier renewal by this process.
      */
-    private loseVersion(): void {
+    private forgetVersion(): void {
         this.holding &&= { ...this.holding, version: undefined };
     }
 
@@ -294,7 +307,7 @@
         return { holder, incarnation, fence, duration, released: false };
     }
 
-    /** @returns The new versions of the rows, if the store told them. */
+    /** @returns The new version of each written row. */
     private commit(
         conditions: Transaction["conditions"],
         writes: Transaction["writes"],
--- a/packages/control/src/lib/leases/leaseRow.ts
+++ b/packages/control/src/lib/leases/leaseRow.ts
@@ -5,20 +5,20 @@
 import { commitResolved } from "../support/commitResolved.js";
 
 /**
- * The value of a duty's row in the table service. The row is never deleted, so that its fence only grows.
+ * The value of a duty's lease row in the table service. The row is never deleted, so its fence never decreases.
  *
  * @public
  */
 export const leaseValueSchema = z.object({
-    /** The process that took the lease last. */
+    /** The process that acquired the lease most recently. */
     holder: z.string(),
-    /** The start of that process, so that a restarted holder is not taken for its predecessor. */
+    /** The incarnation (start) of that process, so that a restarted holder is distinguished from the earlier one. */
     incarnation: z.string(),
-    /** Grows each time the lease is taken: by one, or beyond all fences of earlier eras of the store. */
+    /** Fencing token. Each acquisition increases it by one, or to above all fences of earlier eras of the store. */
     fence: z.number().int().nonnegative(),
-    /** Milliseconds that the lease lasts from each renewal. */
+    /** Milliseconds that the lease is valid after each renewal. */
     duration: z.number().positive(),
-    /** True once the holder has given the lease up before its end. */
+    /** True once the holder has released the lease before its expiry. */
     released: z.boolean().default(false),
 });
 
@@ -35,9 +35,9 @@
 }
 
 /**
- * The key of the row that holds a duty's fence alone. It is written in the same transaction that takes the lease, and
- * not by renewals, so a transaction of a holder can name its version as a condition: the write fails once another
- * process has taken the duty over, however late it arrives.
+ * The key of the row that holds only a duty's fence. The transaction that acquires the lease writes it; renewals do
+ * not. A holder can therefore use its version as a condition of a transaction, which then fails once another process
+ * has taken the duty over, however late the transaction arrives.
  *
  * @public
  */
@@ -45,22 +45,22 @@
     return `fence/${duty}`;
 }
 
-/** Fences of one era of the store: far more than a duty is ever taken over in one. */
+/** Size of the fence range of one era of the store: far more than the takeovers of a duty within one era. */
 const fencesPerEra = 1_000_000_000;
 
 /**
- * A fence below every one that is given out in an era of the store. A store that came back from a copy may lack the last fences of
- * the era before, which must not be given out again.
+ * Returns a lower bound, exclusive, for the fences issued in an era of the store. A store restored from a copy may lack
+ * the last fences of the previous era, which must not be issued again.
  *
  * @internal
  */
-export function lowestFence(era: number): number {
+export function fenceFloor(era: number): number {
     return era * fencesPerEra;
 }
 
 /**
- * The key of the row that exists while a fence is the duty's newest one. Unlike a version of the lease's row, which a store that came
- * back from a copy gives out again, the key is used once.
+ * The key of the term row, which exists while a fence is the newest one of its duty. A store restored from a copy may
+ * assign a version of the lease row a second time, but this key is used only once.
  *
  * @internal
  */
@@ -71,9 +71,9 @@
 const fenceValueSchema = z.object({ fence: z.number().int().nonnegative() });
 
 /**
- * The value of a fence row.
+ * Reads the value of a fence row.
  *
- * @returns 0 if nobody has ever held the duty; undefined if the row cannot be read as a fence.
+ * @returns The fence; 0 if no process has ever held the duty; undefined if the row has no valid fence.
  * @internal
  */
 export function parseFence(row: Row): number | undefined {
@@ -83,7 +83,7 @@
 /**
  * Reads the value of a lease row.
  *
- * @returns The value, or undefined if the row does not exist or cannot be read as a lease.
+ * @returns The value, or undefined if the row does not exist or is not a valid lease.
  * @internal
  */
 export function parseLease(row: Row): LeaseValue | undefined {
@@ -91,15 +91,15 @@
 }
 
 /**
- * Reads the fence that an agent must know before it accepts an order of a duty. The row carries a fence before its
- * holder learns that it has the lease, so the answer is at least as high as every fence of an order sent so far.
+ * Reads the fence that an agent must know before it accepts an order of a duty. The row contains a fence before its
+ * holder learns that it has the lease, so the result is at least as high as the fence of every order sent so far.
  *
- * A read may be stale, so a transaction without writes confirms on the truth that the row had not changed.
+ * A read may be stale, so a transaction without writes confirms that the row has not changed.
  *
  * @param store - The table service.
- * @param duty - The duty that gives orders to the agent's target; see {@link ordersDuty}.
- * @returns The fence, or 0 if nobody has ever held the duty. On a failure, `conditionFailed` for a read that was stale,
- * the caller keeps refusing orders and asks again.
+ * @param duty - The duty that sends orders to the agent's target; see {@link ordersDuty}.
+ * @returns The fence, or 0 if no process has ever held the duty. On a failure, which is `conditionFailed` for a stale
+ * read, the caller must keep refusing orders and retry.
  * @public
  */
 export async function readFence(store: TableStore, duty: string): Promise<Outcome<number>> {
@@ -120,8 +120,8 @@
 }
 
 /**
- * The one duty that gives orders to the targets of a data centre. Fences of two duties cannot be compared, so a target
- * takes orders from exactly one.
+ * Returns the name of the only duty that sends orders to the targets of a data centre. Fences of two duties cannot be
+ * compared, so a target accepts orders from exactly one.
  *
  * @public
  */
--- a/packages/control/src/lib/leases/rendezvous.ts
+++ b/packages/control/src/lib/leases/rendezvous.ts
@@ -1,12 +1,12 @@
 import { createHash } from "node:crypto";
 
 /**
- * Orders names by their weight for a key: rendezvous hashing. Every process that knows the same names gets the same
- * order, and a name that comes or goes moves no other.
+ * Orders names by their weight for a key (rendezvous hashing). Every process that knows the same names computes the
+ * same order, and adding or removing a name does not change the relative order of the others.
  *
- * @param key - What is to be assigned.
- * @param names - Who may take it.
- * @returns The names, the best first.
+ * @param key - The key to assign.
+ * @param names - The candidates.
+ * @returns The names, highest weight first.
  * @internal
  */
 export function rendezvousOrder(key: string, names: readonly string[]): string[] {
--- a/packages/control/src/lib/leases/storeCopy.test.ts
+++ b/packages/control/src/lib/leases/storeCopy.test.ts
@@ -7,7 +7,7 @@
 const duration = 1000;
 const holders = ["a", "b", "c"];
 
-/** A store that comes back from copies, and processes that compete for one lease in it. */
+/** Processes that compete for one lease in a store that is restored from copies. */
 class LeaseSite {
     readonly clock = new ManualClock();
     readonly store = new MemoryTableStore({ clock: this.clock });
@@ -19,7 +19,7 @@
         return new Lease({ store, clock, duty: "orders/a", holder, incarnation: `${holder}-1`, duration });
     }
 
-    /** Lets a call go on, with its answers. */
+    /** Advances the clock until a call has completed. */
     async wait<T>(call: Promise<Outcome<T>>): Promise<Outcome<T>> {
         let isOpen = true;
         void call.finally(() => isOpen = false);
@@ -30,7 +30,7 @@
     }
 }
 
-// The copy was made before the first holder took the lease, so the fence that it got was given out again.
+// Guards against issuing a fence twice: a copy made before the first acquisition lacks its fence when it is restored.
 test("two holders never carry one fence, though a copy of the store lacks the first one's term", async () => {
     const site = new LeaseSite();
     const [first, second] = site.leases;
@@ -40,10 +40,10 @@
     restore();
     await site.wait(second.poll());
     assert.ok(first.fence !== undefined && second.fence !== undefined);
-    assert.ok(second.fence > first.fence, "the order of the earlier holder is refused where it is carried out");
+    assert.ok(second.fence > first.fence, "the target can refuse orders of the earlier holder");
 });
 
-test("copies of the store at any moment let no fence be held by two processes", async () => {
+test("restoring a copy of the store at any time never gives one fence to two processes", async () => {
     const firstSeed = Number(process.env["LEASE_FIRST"] ?? 1);
     const seedCount = Number(process.env["LEASE_SEEDS"] ?? 60);
     for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) {
--- a/packages/control/src/lib/support/commitResolved.ts
+++ b/packages/control/src/lib/support/commitResolved.ts
@@ -3,10 +3,10 @@
 import { Result } from "true-myth";
 
 /**
- * Commits a transaction and, when the answer was lost, asks for the result by the write id instead of writing again: a
- * repeat of a conditional write that took effect would look like a conflict.
+ * Commits a transaction. If the response is lost, looks the result up by the write id instead of writing again, since
+ * repeating a conditional write that took effect would report a conflict.
  *
- * @returns The versions written; `storeUnknown` if the result could not be learned either.
+ * @returns The versions written; `storeUnknown` if the lookup did not give the result either.
  * @internal
  */
 export async function commitResolved(
--- a/packages/control/src/lib/support/withDefaults.ts
+++ b/packages/control/src/lib/support/withDefaults.ts
@@ -1,5 +1,5 @@
 /**
- * Fills in the options that were left out, also those that were set to undefined.
+ * Merges options with their defaults. An option that is set to undefined also gets its default.
  *
  * @internal
  */
