--- a/packages/control/src/bench/baselines.ts
+++ b/packages/control/src/bench/baselines.ts
@@ -1,7 +1,7 @@
 import { type PipelineStage, type PlacementModel, type PlacementTarget } from "../lib/placement/Pipeline.js";
-import { layerRoom } from "../lib/placement/stageTime.js";
+import { layerCapacity } from "../lib/placement/stageTime.js";
 
-/** Fills targets in their declared order up to their memory, pipeline after pipeline. */
+/** Fills targets up to their memory in the order of declaration, one pipeline after the other. */
 export function greedyByOrder(
     model: PlacementModel,
     targets: readonly PlacementTarget[],
@@ -11,7 +11,7 @@
     let stages: PipelineStage[] = [];
     let first = 0;
     for (const target of targets) {
-        const layers = Math.min(layerRoom(target, model), model.layers - first);
+        const layers = Math.min(layerCapacity(target, model), model.layers - first);
         if (pipelines.length === count || layers === 0) {
             continue;
         }
@@ -26,7 +26,7 @@
     return pipelines;
 }
 
-/** Cuts the targets in their declared order into equal groups, and the layers into equal stages. */
+/** Divides the targets into equal groups in the order of declaration, and the layers into equal stages. */
 export function equalSplit(
     model: PlacementModel,
     targets: readonly PlacementTarget[],
@@ -37,7 +37,7 @@
     for (let index = 0; index < count; index++) {
         const group = targets.slice(index * size, (index + 1) * size);
         const bounds = Array.from({ length: size + 1 }, (_, part) => Math.round(part * model.layers / size));
-        const fits = group.every((target, part) => bounds[part + 1]! - bounds[part]! <= layerRoom(target, model));
+        const fits = group.every((target, part) => bounds[part + 1]! - bounds[part]! <= layerCapacity(target, model));
         if (fits) {
             pipelines.push(group.map(({ name }, part) => (
                 { target: name, first: bounds[part]!, last: bounds[part + 1]! - 1 }
--- a/packages/control/src/bench/placementBench.ts
+++ b/packages/control/src/bench/placementBench.ts
@@ -6,8 +6,9 @@
 import { equalSplit, greedyByOrder } from "./baselines.js";
 
 /**
- * Measures the placement against simple baselines on a random fleet: four kinds of accelerators, links that differ a
- * hundredfold, data centres of 3,000 targets at most. Run with `node --expose-gc dist/bench/placementBench.js [seed]`.
+ * Compares placement with simple baselines on a random fleet: four kinds of accelerators, links whose bandwidths differ
+ * by a factor of 100, and data centres of at most 3,000 targets. Run with
+ * `node --expose-gc dist/bench/placementBench.js [seed]`.
  */
 
 interface Kind {
@@ -34,7 +35,9 @@
     placement: (placed, targets, count) => createPipelines(placed, targets, count),
 };
 
-/** Hosts of eight targets share a kind and a link, as machines do. */
+/**
+ * Creates the targets of a data centre. Targets of the same host, up to eight, share an accelerator kind and a link.
+ */
 function randomSite(site: number, replicas: number, seed: number): PlacementTarget[] {
     const random = seededRandom(seed + site);
     const targets: PlacementTarget[] = [];
@@ -58,7 +61,7 @@
     });
 }
 
-/** Makes the heap figures mean what the plan keeps; needs `--expose-gc`. */
+/** Collects garbage, so that heap figures cover only what the result retains. Has no effect without `--expose-gc`. */
 function collectGarbage(): void {
     (globalThis as { gc?: () => void; }).gc?.();
 }
--- a/packages/control/src/lib/placement/Pipeline.ts
+++ b/packages/control/src/lib/placement/Pipeline.ts
@@ -4,7 +4,7 @@
 export type PipelineStage = PlacementSpec["stages"][number];
 
 /**
- * What the placement needs to know of a model version.
+ * The properties of a model version that placement uses.
  *
  * @public
  */
@@ -14,15 +14,15 @@
 }
 
 /**
- * What the placement needs to know of a target.
+ * The properties of a target that placement uses.
  *
  * @public
  */
 export interface PlacementTarget {
     readonly name: string;
-    /** Bytes of memory for weights that may be used. */
+    /** Bytes of memory that are available for weights. */
     readonly memory: number;
-    /** Speed against the slowest kind of accelerator, which is 1. */
+    /** Speed relative to the slowest kind of accelerator, which has speed 1. */
     readonly speed: number;
     /** Bytes per second of the target's link. */
     readonly bandwidth: number;
@@ -31,7 +31,7 @@
 }
 
 /**
- * Takes what the placement needs from the spec of a target.
+ * Extracts the properties that placement uses from the spec of a target.
  *
  * @public
  */
--- a/packages/control/src/lib/placement/createPipelines.ts
+++ b/packages/control/src/lib/placement/createPipelines.ts
@@ -1,7 +1,7 @@
 import { groupTargets } from "./groupTargets.js";
 import { type PipelineStage, type PlacementModel, type PlacementTarget } from "./Pipeline.js";
 import { splitLayers } from "./splitLayers.js";
-import { type CostOptions, defaultCosts, hopTime, layerRoom } from "./stageTime.js";
+import { type CostOptions, defaultCosts, hopTime, layerCapacity } from "./stageTime.js";
 
 /**
  * Options of {@link createPipelines}.
@@ -10,11 +10,11 @@
  */
 export interface CreateOptions {
     readonly costs?: CostOptions;
-    /** The share of the targets that is kept free to replace failed ones, if memory allows. */
+    /** The share of the targets, from 0 to 1, that is kept free to replace failed ones if memory allows. */
     readonly spareShare?: number;
-    /** The most stages that a pipeline has. */
+    /** Maximum number of stages of a pipeline. */
     readonly maxStages?: number;
-    /** The most targets that all new pipelines have together. */
+    /** Maximum number of targets of all new pipelines together. */
     readonly maxTargets?: number;
 }
 
@@ -22,15 +22,15 @@
 const defaultMaxStages = 16;
 
 /**
- * Places whole pipelines of one model version on the free targets of one data centre. Fewer than wanted come back when
- * memory is too short for all.
+ * Places whole pipelines of one model version on the free targets of one data centre. Returns fewer than requested if
+ * there is not enough memory for all.
  *
  * @example
  * ```ts
  * const pipelines = createPipelines(model, targets, 40);
  * ```
- * @param free - Targets that hold nothing; none is used twice.
- * @returns The stages of each pipeline, in the order of layers.
+ * @param free - Targets that hold nothing. Each is used at most once.
+ * @returns The stages of each pipeline, in the order of their layers.
  * @public
  */
 export function createPipelines(
@@ -40,7 +40,7 @@
     options: CreateOptions = {},
 ): PipelineStage[][] {
     const { costs = defaultCosts, spareShare = defaultSpareShare, maxStages = defaultMaxStages } = options;
-    const useful = free.filter(target => layerRoom(target, model) > 0);
+    const useful = free.filter(target => layerCapacity(target, model) > 0);
     if (count <= 0 || useful.length === 0) {
         return [];
     }
@@ -59,16 +59,18 @@
     });
 }
 
-/** The most useful targets first: those that add most speed at their link, so that the spares are the least useful. */
+/**
+ * Sorts targets by the speed that they add, including the cost of their link, so that the least useful become spares.
+ */
 function rankTargets(
     targets: readonly PlacementTarget[],
     model: PlacementModel,
     costs: CostOptions,
 ): PlacementTarget[] {
-    const usualLayers = Math.max(1, model.layers / 8);
-    const worth = new Map(targets.map(target => {
-        const layers = Math.min(usualLayers, layerRoom(target, model));
+    const typicalLayers = Math.max(1, model.layers / 8);
+    const scores = new Map(targets.map(target => {
+        const layers = Math.min(typicalLayers, layerCapacity(target, model));
         return [target, layers / (layers * costs.layerTime / target.speed + hopTime(target, model, costs))];
     }));
-    return [...targets].sort((a, b) => worth.get(b)! - worth.get(a)! || (a.name < b.name ? -1 : 1));
+    return [...targets].sort((a, b) => scores.get(b)! - scores.get(a)! || (a.name < b.name ? -1 : 1));
 }
--- a/packages/control/src/lib/placement/pinnedPipelines.ts
+++ b/packages/control/src/lib/placement/pinnedPipelines.ts
@@ -2,7 +2,7 @@
 import { type PipelineStage } from "./Pipeline.js";
 
 /**
- * What operators have pinned to one target.
+ * The layer ranges that operators have pinned to one target.
  *
  * @internal
  */
@@ -12,10 +12,10 @@
 }
 
 /**
- * Builds pipelines from the layer ranges that operators have pinned: ranges that follow one another from the first
- * layer to the last. A pinned range is used once.
+ * Builds pipelines from the layer ranges that operators have pinned. The ranges of a pipeline are contiguous from the
+ * first layer of the model to the last, and each range is used once.
  *
- * @returns The stages of each pipeline; ranges that do not complete one are left out.
+ * @returns The stages of each pipeline. Ranges that do not form a whole pipeline are left out.
  * @internal
  */
 export function pinnedPipelines(
@@ -40,7 +40,9 @@
     return pipelines;
 }
 
-/** Takes ranges that lead from a layer to the end out of the map. A range that leads nowhere is dropped. */
+/**
+ * Removes contiguous ranges from a layer to the last one from the map. Ranges that do not reach the end are dropped.
+ */
 function takeChain(
     first: number,
     layers: number,
--- a/packages/control/src/lib/placement/placement.test.ts
+++ b/packages/control/src/lib/placement/placement.test.ts
@@ -7,7 +7,7 @@
 import { replaceStages } from "./replaceStages.js";
 import { replicaShares } from "./replicaShares.js";
 import { splitLayers } from "./splitLayers.js";
-import { defaultCosts, layerRoom, pipelineTime } from "./stageTime.js";
+import { defaultCosts, layerCapacity, pipelineTime } from "./stageTime.js";
 
 const seed = Number(process.env["SEED"] ?? Date.now() % 1_000_000_007);
 
@@ -29,7 +29,7 @@
     let next = 0;
     for (const { target, first, last } of stages) {
         assert.equal(first, next);
-        assert.ok(last - first + 1 <= layerRoom(byName.get(target)!, model), `${target} is too small`);
+        assert.ok(last - first + 1 <= layerCapacity(byName.get(target)!, model), `${target} is too small`);
         next = last + 1;
     }
     assert.equal(next, model.layers);
@@ -44,9 +44,9 @@
             const used = pipelines.flat().map(stage => stage.target);
             assert.equal(new Set(used).size, used.length);
             assert.ok(pipelines.length <= count);
-            // One pipeline always comes out if all memory together holds one.
-            const room = free.reduce((sum, target) => sum + layerRoom(target, model), 0);
-            const stages = free.filter(target => layerRoom(target, model) > 0).length;
+            // At least one pipeline is created if the total memory fits one.
+            const room = free.reduce((sum, target) => sum + layerCapacity(target, model), 0);
+            const stages = free.filter(target => layerCapacity(target, model) > 0).length;
             assert.ok(pipelines.length > 0 || room < model.layers || stages > 16);
         }),
         { seed, numRuns: 2000 },
@@ -71,7 +71,7 @@
     );
 });
 
-/** The slowest stage of the best split, by trying all of them. */
+/** Finds the time of the slowest stage of the best split by exhaustive search. */
 function bestSplit(few: readonly PlacementTarget[], model: PlacementModel): number {
     const byName = new Map(few.map(target => [target.name, target]));
     const search = (index: number, first: number): number => {
@@ -83,7 +83,7 @@
             return Infinity;
         }
         let best = search(index + 1, first);
-        for (let count = 1; count <= Math.min(layerRoom(target, model), model.layers - first); count++) {
+        for (let count = 1; count <= Math.min(layerCapacity(target, model), model.layers - first); count++) {
             const stage = { target: target.name, first, last: first + count - 1 };
             const { slowest } = pipelineTime([stage], byName, model);
             best = Math.min(best, Math.max(slowest, search(index + 1, first + count)));
@@ -107,7 +107,7 @@
             const result = replaceStages(stages, name => name === failed, all.slice(cut), model);
             const stage = stages.find(({ target }) => target === failed)!;
             if (result === undefined) {
-                const rooms = all.slice(cut).map(target => layerRoom(target, model)).sort((a, b) => b - a);
+                const rooms = all.slice(cut).map(target => layerCapacity(target, model)).sort((a, b) => b - a);
                 assert.ok((rooms[0] ?? 0) + (rooms[1] ?? 0) < stage.last - stage.first + 1);
                 return;
             }
@@ -123,7 +123,7 @@
     assert.ok(replaced > 100, `only ${replaced} replaced`);
 });
 
-test("a slow link spoils as few pipelines as possible", () => {
+test("slow links are grouped into as few pipelines as possible", () => {
     const fleet = Array.from({ length: 32 }, (_, index): PlacementTarget => ({
         name: `t${String(index).padStart(2, "0")}`,
         memory: 10,
@@ -138,13 +138,13 @@
     assert.equal(pipelines.filter(stages => stages.some(stage => slow.has(stage.target))).length, 1);
 });
 
-test("shares add up and follow memory", () => {
+test("the replicas of data centres are proportional to memory and add up to the total", () => {
     const sites = ["a", "b", "c"].map((dataCentre, index) => ({ dataCentre, memory: index + 1 }));
     assert.deepEqual([...replicaShares(40, sites)], [["a", 7], ["b", 13], ["c", 20]]);
     assert.deepEqual([...replicaShares(1, sites).values()].reduce((sum, count) => sum + count), 1);
 });
 
-test("pinned ranges form chains", () => {
+test("contiguous pinned ranges form pipelines", () => {
     const pin = (name: string, first: number, last: number) => ({
         name,
         holds: [{ model: "m", version: "v", first, last }],
--- a/packages/control/src/lib/placement/replaceStages.ts
+++ b/packages/control/src/lib/placement/replaceStages.ts
@@ -1,14 +1,14 @@
 import { type PipelineStage, type PlacementModel, type PlacementTarget } from "./Pipeline.js";
 import { splitLayers } from "./splitLayers.js";
-import { type CostOptions, defaultCosts, layerRoom, stageTime } from "./stageTime.js";
+import { type CostOptions, defaultCosts, layerCapacity, stageTime } from "./stageTime.js";
 
 /**
- * Replaces the failed stages of a pipeline and leaves the others where they are, so that as few layers as possible are
+ * Replaces the failed stages of a pipeline and keeps the others on their targets, so that as few layers as possible are
  * loaded again.
  *
- * @param failed - Tells whether a stage's target is lost.
- * @param spares - Free targets. A stage that fits no single one is split over two.
- * @returns The whole pipeline; undefined if the spares do not suffice.
+ * @param failed - Returns whether the target of a stage is lost.
+ * @param spares - Free targets. A stage that does not fit any single one is split over two.
+ * @returns The stages of the repaired pipeline; undefined if the spares do not suffice.
  * @public
  */
 export function replaceStages(
@@ -18,25 +18,26 @@
     model: PlacementModel,
     costs: CostOptions = defaultCosts,
 ): PipelineStage[] | undefined {
-    const left = [...spares];
+    const remaining = [...spares];
     const result: PipelineStage[] = [];
     for (const stage of stages) {
         if (!failed(stage.target)) {
             result.push(stage);
             continue;
         }
-        const replacement = onOne(stage, left, model, costs) ?? onTwo(stage, left, model, costs);
+        const replacement = replaceWithOne(stage, remaining, model, costs)
+            ?? replaceWithTwo(stage, remaining, model, costs);
         if (replacement === undefined) {
             return undefined;
         }
         result.push(...replacement);
         const used = new Set(replacement.map(part => part.target));
-        left.splice(0, left.length, ...left.filter(spare => !used.has(spare.name)));
+        remaining.splice(0, remaining.length, ...remaining.filter(spare => !used.has(spare.name)));
     }
     return result;
 }
 
-function onOne(
+function replaceWithOne(
     { first, last }: PipelineStage,
     spares: readonly PlacementTarget[],
     model: PlacementModel,
@@ -46,7 +47,7 @@
     let best: PlacementTarget | undefined;
     let bestTime = Infinity;
     for (const spare of spares) {
-        const time = layerRoom(spare, model) < layers ? Infinity : stageTime(spare, layers, model, costs);
+        const time = layerCapacity(spare, model) < layers ? Infinity : stageTime(spare, layers, model, costs);
         if (time < bestTime) {
             best = spare;
             bestTime = time;
@@ -55,7 +56,7 @@
     return best && [{ target: best.name, first, last }];
 }
 
-function onTwo(
+function replaceWithTwo(
     stage: PipelineStage,
     spares: readonly PlacementTarget[],
     model: PlacementModel,
--- a/packages/control/src/lib/placement/replicaShares.ts
+++ b/packages/control/src/lib/placement/replicaShares.ts
@@ -1,11 +1,11 @@
 /**
- * The memory that a data centre offers.
+ * The memory capacity of a data centre.
  *
  * @internal
  */
 export interface SiteCapacity {
     readonly dataCentre: string;
-    /** Bytes of memory of all its targets. */
+    /** Total bytes of memory of its targets. */
     readonly memory: number;
 }
 
@@ -16,10 +16,11 @@
 }
 
 /**
- * Divides the replicas of a model over data centres in proportion to their memory, by largest remainders. Every process
- * with the same configuration gets the same result, so that the holders of the data centres' duties need not agree.
+ * Divides the replicas of a model over data centres in proportion to their memory, by the largest remainder method.
+ * Every process with the same configuration computes the same result, so the holders of the data centres' duties need
+ * no coordination.
  *
- * @returns How many replicas each data centre is to hold; their sum is `replicas`.
+ * @returns The number of replicas for each data centre. The numbers add up to `replicas` unless there is no memory.
  * @internal
  */
 export function replicaShares(replicas: number, sites: readonly SiteCapacity[]): Map<string, number> {
--- a/packages/control/src/lib/placement/splitLayers.ts
+++ b/packages/control/src/lib/placement/splitLayers.ts
@@ -1,19 +1,22 @@
 import { type PipelineStage, type PlacementModel, type PlacementTarget } from "./Pipeline.js";
-import { type CostOptions, layerRoom, stageTime } from "./stageTime.js";
+import { type CostOptions, layerCapacity, stageTime } from "./stageTime.js";
 
 interface Share {
     readonly target: PlacementTarget;
+    /** Number of layers that fit the target's memory. */
     readonly room: number;
     layers: number;
-    /** The stage's time if it took one layer more. */
+    /** The time of the stage with one more layer. */
     nextTime: number;
 }
 
 /**
- * Splits the layers of a model over targets so that the slowest stage is as fast as possible. Layers are handed out one
- * by one, each to the target whose stage would then be fastest, which is optimal since a stage's time only grows.
+ * Splits the layers of a model over targets so that the slowest stage is as fast as possible. Layers are assigned one
+ * by one, each to the target whose stage is fastest with it. This is optimal, since a layer only adds to a stage's
+ * time.
  *
- * @returns The stages in the order of the targets, without those that got no layer; undefined if memory is too short.
+ * @returns The stages in the order of the targets, without targets that got no layer; undefined if memory does not
+ * suffice.
  * @internal
  */
 export function splitLayers(
@@ -35,7 +38,7 @@
 }
 
 function newShare(target: PlacementTarget, model: PlacementModel, costs: CostOptions): Share {
-    return { target, room: layerRoom(target, model), layers: 0, nextTime: stageTime(target, 1, model, costs) };
+    return { target, room: layerCapacity(target, model), layers: 0, nextTime: stageTime(target, 1, model, costs) };
 }
 
 function fastest(shares: readonly Share[]): Share | undefined {
--- a/packages/control/src/lib/placement/stageTime.ts
+++ b/packages/control/src/lib/placement/stageTime.ts
@@ -1,20 +1,20 @@
 import { type PipelineStage, type PlacementModel, type PlacementTarget } from "./Pipeline.js";
 
 /**
- * The figures with which the placement compares targets. Only their ratio matters: how much a slow link weighs against
- * a slow accelerator.
+ * The parameters of the cost estimate with which placement compares targets. Only their ratio matters: how much a slow
+ * link costs compared with a slow accelerator.
  *
  * @public
  */
 export interface CostOptions {
-    /** Milliseconds that a layer takes on the slowest kind of accelerator for one step of a batch. */
+    /** Milliseconds that one step of a batch takes per layer on the slowest kind of accelerator. */
     readonly layerTime: number;
-    /** Positions whose activations pass from stage to stage in one step of a batch. */
+    /** Number of positions whose activations are sent from stage to stage in one step of a batch. */
     readonly batch: number;
 }
 
 /**
- * The costs that are assumed where none are given.
+ * The default costs.
  *
  * @public
  */
@@ -23,7 +23,7 @@
 const msPerSecond = 1000;
 
 /**
- * The time to pass the activations of a batch on to the next stage, in milliseconds.
+ * Estimates the time to send the activations of a batch to the next stage, in milliseconds.
  *
  * @internal
  */
@@ -32,8 +32,8 @@
 }
 
 /**
- * The time that a stage takes for one step of a batch, in milliseconds. The slowest stage bounds the throughput of its
- * pipeline; the sum of all stages is the time between two tokens.
+ * Estimates the time that a stage takes for one step of a batch, in milliseconds. The slowest stage limits the
+ * throughput of its pipeline; the sum over all stages is the time between two tokens.
  *
  * @internal
  */
@@ -47,7 +47,7 @@
 }
 
 /**
- * The time of the slowest stage and of all stages of a pipeline, in milliseconds.
+ * The time of the slowest stage of a pipeline and the sum of all its stages, in milliseconds.
  *
  * @public
  */
@@ -78,7 +78,7 @@
     return { slowest, total };
 }
 
-/** How many layers of a model fit the memory of a target. @internal */
-export function layerRoom(target: PlacementTarget, model: PlacementModel): number {
+/** Returns the number of layers of a model that fit the memory of a target. @internal */
+export function layerCapacity(target: PlacementTarget, model: PlacementModel): number {
     return Math.floor(target.memory / model.layerBytes);
 }
