--- a/packages/control/src/bench/siteBench.ts
+++ b/packages/control/src/bench/siteBench.ts
@@ -9,8 +9,8 @@
 import { SiteWorld } from "../lib/testing/SiteWorld.js";
 
 /**
- * Measures the duty of a data centre: processor time of one step by size, store calls, and the time from the loss of a
- * target to the ready flag of its pipeline on virtual time. Run with `node dist/bench/siteBench.js`.
+ * Measures the duty of a data centre: processor time of one step by number of replicas, store calls, and, on virtual
+ * time, the time from the loss of a target until its pipeline is ready again. Run with `node dist/bench/siteBench.js`.
  */
 
 const layers = 80;
@@ -130,7 +130,7 @@
     process.stdout.write(`${label} | ${perMinute(site.store.reads)} | ${perMinute(site.store.writes)} | ${changes}\n`);
 }
 
-/** Milliseconds from the moment a holder stops answering until another process holds the duty. */
+/** Measures the milliseconds from the pause of a holder until another process holds the duty. */
 async function takeoverTime(seed: number): Promise<number> {
     const site = new SiteWorld({ targets: 8, memory: 10e9, model: { layers: 8, replicas: 4 }, seed });
     await site.run(20_000 + seed * 500);
@@ -152,7 +152,7 @@
     process.stdout.write(`40 takeovers, s | ${times[0]} least | ${times[20]} median | ${times[39]} most\n`);
 }
 
-/** The processor time of one process that takes part in 18 duties, as a share of a core, without its own ticks. */
+/** Measures the processor time, as a share of a core, of one process that polls 18 duties whose ticks do nothing. */
 async function measureIdleProcess(processes: number): Promise<void> {
     const clock = new ManualClock();
     const members = Array.from({ length: processes }, (_, index) => (
--- a/packages/control/src/lib/orders/LinkTargets.test.ts
+++ b/packages/control/src/lib/orders/LinkTargets.test.ts
@@ -32,7 +32,7 @@
     return { server, address };
 }
 
-test("reports and orders travel over TCP, and orders only to the start that was meant", async () => {
+test("reports and orders are sent over TCP, and an order only to the incarnation it names", async () => {
     const seen: Order[] = [];
     const engine = new FakeEngine({ clock: new ManualClock(), memory: 10 });
     const { server, address } = await startAgent("t-1", engine, seen);
--- a/packages/control/src/lib/orders/LinkTargets.ts
+++ b/packages/control/src/lib/orders/LinkTargets.ts
@@ -5,7 +5,7 @@
 import { withDefaults } from "../support/withDefaults.js";
 import { type Observation, type TargetPort, targetReportSchema } from "./TargetPort.js";
 
-/** The JSON-RPC method that takes an order; its parameters are the order. @public */
+/** The JSON-RPC method that applies an order; its parameters are the order. @public */
 export const orderMethodName = "order.apply";
 
 /** The JSON-RPC method that reports on a target; see {@link createObserveMethod}. @public */
@@ -18,16 +18,16 @@
  */
 export interface LinkTargetsOptions {
     readonly pool: LinkPool;
-    /** Where the agent of a target listens, or undefined for a target that is not declared. */
+    /** Returns the address of a target's agent, or undefined for a target that is not declared. */
     readonly addressOf: (target: string) => Address | undefined;
     /** Milliseconds to wait for a report. */
     readonly observeTimeout?: number;
-    /** Milliseconds to wait for the end of an order. An order that takes longer is asked for again under its id. */
+    /** Milliseconds to wait for the result of an order. An order that takes longer is sent again with the same id. */
     readonly orderTimeout?: number;
 }
 
 /**
- * Reaches the agents over links between processes.
+ * A {@link TargetPort} that reaches the agents over links between processes.
  *
  * @public
  */
@@ -50,7 +50,9 @@
         const report = targetReportSchema.safeParse(answer.value);
         return report.success
             ? Result.ok({ ...report.data, incarnation: link.value.peer.incarnation })
-            : Result.err(failure(transportCodes.protocolViolation, `${target} sent no valid report`));
+            : Result.err(
+                failure(transportCodes.protocolViolation, `the report of ${target} does not match the schema`),
+            );
     }
 
     async order(target: string, incarnation: string, order: Order): Promise<Outcome<void>> {
--- a/packages/control/src/lib/orders/LoadPermits.ts
+++ b/packages/control/src/lib/orders/LoadPermits.ts
@@ -6,16 +6,16 @@
 import { commitResolved } from "../support/commitResolved.js";
 import { withDefaults } from "../support/withDefaults.js";
 
-/** The key of the row that lists every load under way. @internal */
+/** The key of the row that lists every load in progress. @internal */
 export const loadsKey = "loads";
 
 const loadsSchema = z.object({
     duties: z.record(
         z.string(),
         z.object({
-            /** Loads that may run now. */
+            /** Ids of the loads that are permitted to run. */
             active: z.array(z.string()),
-            /** True if the duty wants more. */
+            /** True if the duty wants more loads than it has permits for. */
             waiting: z.boolean(),
         }),
     ),
@@ -29,11 +29,11 @@
  * @public
  */
 export interface WantedLoad {
-    /** The same for as long as the load is wanted. */
+    /** Stable for as long as the load is wanted. */
     readonly id: string;
-    /** True if it replaces a failed stage, which goes before anything else. */
+    /** True if the load gets its permit before others, for example because it replaces a failed stage. */
     readonly urgent: boolean;
-    /** False while the target has no room for it: it may go on if it has begun, but not begin. */
+    /** False while the target lacks memory for it: a load that holds a permit may continue, but none is granted. */
     readonly fits: boolean;
 }
 
@@ -44,25 +44,27 @@
  */
 export interface LoadPermitsOptions {
     readonly store: TableStore;
-    /** How many loads may run at once in the whole system, so that each gets a fair part of the weight store's rate. */
+    /**
+     * Most loads that may run at once in the whole system, so that each gets a fair share of the weight store's rate.
+     */
     readonly limit?: number;
-    /** How many of them are kept for urgent loads. */
+    /** Number of permits within the limit that are reserved for urgent loads. */
     readonly reserve?: number;
 }
 
 const defaultLimit = 16;
 
 /**
- * Bounds the loads from the weight store over all data centres. One row lists the loads under way; a duty adds its own
- * by a conditional write before it orders them, and takes them out when they have ended. The row survives a change of
- * the holder, who carries on with what the row says.
+ * Limits the concurrent loads from the weight store over all data centres. One row lists the loads in progress. A duty
+ * adds its loads by a conditional write before it orders them, and removes them when they have ended. The row outlives
+ * the holder of the duty, and the next holder continues from it.
  *
  * @public
  */
 export class LoadPermits {
     private readonly options: Required<LoadPermitsOptions>;
-    /** True while the row lists loads of this duty, as far as this process knows. */
-    private listed = true;
+    /** True while the row may list loads of this duty. */
+    private isListed = true;
 
     constructor(options: LoadPermitsOptions) {
         const limit = options.limit ?? defaultLimit;
@@ -70,13 +72,13 @@
     }
 
     /**
-     * Gives back the permits of loads that are no longer wanted and asks for those that are.
+     * Releases the permits of loads that are no longer wanted and requests permits for those that are.
      *
-     * @param wanted - Every load that is under way or wanted, the most important first.
+     * @param wanted - Every load that is in progress or wanted, most important first.
      * @returns The ids of the loads that may run.
      */
     async update(lease: Lease, wanted: readonly WantedLoad[]): Promise<Outcome<ReadonlySet<string>>> {
-        if (wanted.length === 0 && !this.listed) {
+        if (wanted.length === 0 && !this.isListed) {
             return Result.ok(new Set());
         }
         const row = await this.options.store.get(loadsKey);
@@ -85,9 +87,9 @@
         }
         const parsed = row.value.version === 0 ? { duties: {} } : loadsSchema.safeParse(row.value.value).data;
         if (parsed === undefined) {
-            return Result.err(failure(platformCodes.storeUnavailable, "the row of loads cannot be read"));
+            return Result.err(failure(platformCodes.storeUnavailable, "the row of loads in progress cannot be read"));
         }
-        const next = this.allot(parsed, lease.duty, wanted);
+        const next = this.allocate(parsed, lease.duty, wanted);
         if (JSON.stringify(next) !== JSON.stringify(parsed)) {
             const written = await lease.checked(() => this.write(row.value.version, next));
             if (written.isErr) {
@@ -95,7 +97,7 @@
             }
         }
         const own = next.duties[lease.duty]?.active ?? [];
-        this.listed = lease.duty in next.duties;
+        this.isListed = lease.duty in next.duties;
         return Result.ok(new Set(own));
     }
 
@@ -107,17 +109,17 @@
         });
     }
 
-    private allot(loads: Loads, duty: string, wanted: readonly WantedLoad[]): Loads {
+    private allocate(loads: Loads, duty: string, wanted: readonly WantedLoad[]): Loads {
         const { limit, reserve } = this.options;
         const others = Object.entries(loads.duties).filter(([name]) => name !== duty);
         const taken = others.reduce((sum, [, { active }]) => sum + active.length, 0);
-        const fair = Math.max(1, Math.floor((limit - reserve) / (others.length + 1)));
+        const fairShare = Math.max(1, Math.floor((limit - reserve) / (others.length + 1)));
         const before = new Set(loads.duties[duty]?.active);
         const active = wanted.filter(({ id }) => before.has(id)).map(({ id }) => id);
-        const fresh = wanted.filter(({ id, fits }) => fits && !before.has(id));
-        for (const { id, urgent } of [...fresh].sort((a, b) => Number(b.urgent) - Number(a.urgent))) {
+        const newLoads = wanted.filter(({ id, fits }) => fits && !before.has(id));
+        for (const { id, urgent } of [...newLoads].sort((a, b) => Number(b.urgent) - Number(a.urgent))) {
             const room = limit - taken - active.length;
-            if (urgent ? room > 0 : room > reserve && active.length < fair) {
+            if (urgent ? room > 0 : room > reserve && active.length < fairShare) {
                 active.push(id);
             }
         }
--- a/packages/control/src/lib/orders/OrderSender.ts
+++ b/packages/control/src/lib/orders/OrderSender.ts
@@ -16,15 +16,15 @@
 import { type TargetPort } from "./TargetPort.js";
 
 /**
- * An order that a duty wants to be carried out.
+ * An order that a duty wants a target's agent to apply.
  *
  * @public
  */
 export interface WantedOrder {
     readonly target: string;
-    /** The start of the agent whose report showed that the order is needed. */
+    /** The incarnation of the agent whose report showed that the order is needed. */
     readonly incarnation: string;
-    /** The monotonic time at which that report was asked for. */
+    /** The monotonic time at which that report was requested. */
     readonly observedAt: number;
     readonly action: Order["action"];
 }
@@ -38,32 +38,32 @@
     readonly clock: Clock;
     readonly targets: TargetPort;
     readonly record?: HistoryRecorder;
-    /** Milliseconds to wait after a definite failure before the next try; doubled with each further failure. */
+    /** Milliseconds to wait after a definite failure before the next attempt; doubled with each further failure. */
     readonly retryDelay?: number;
-    /** Is told that an order was refused for its fence: another process has taken the duty over. */
+    /** Called when an order is refused for its fence: another process has taken the duty over. */
     readonly onStaleFence?: () => void;
-    /** Is told of every other failure, for logs. */
+    /** Called for every failure, for logging. */
     readonly onFailure?: (order: Order, target: string, failure: Failure) => void;
 }
 
-/** What is known of the tries of one wanted order. */
+/** The state of the attempts to send one wanted order. */
 interface Progress {
     readonly wanted: WantedOrder;
     attempt: number;
     pending: boolean;
-    /** When the last try was known to be carried out. */
+    /** The monotonic time at which the last attempt was confirmed as applied. */
     appliedAt: number | undefined;
-    /** Definite failures in a row. */
+    /** Consecutive definite failures. */
     failures: number;
-    /** No further try before this time. */
+    /** The monotonic time before which no further attempt is made. */
     notBefore: number;
     issued: boolean;
 }
 
-/** Failures that say something about the load itself. */
+/** Failure codes that mean the target cannot load the model version. */
 const refusalCodes: readonly number[] = [resourceCodes.insufficientCapacity.number, requestCodes.engineFailed.number];
 const maxRetryDelay = 60_000;
-const rememberedOrders = 4096;
+const maxTrackedOrders = 4096;
 const unknownCodes: readonly number[] = [
     transportCodes.connectionLost.number,
     transportCodes.requestTimeout.number,
@@ -71,9 +71,9 @@
 ];
 
 /**
- * Sends the orders of a duty. Asking for an order again is harmless: while a try is on its way nothing is sent, after
- * an unknown outcome the same order is sent again under the same id, and only a definite failure, or a report that
- * shows that the effect is gone, makes a new order.
+ * Sends the orders of a duty. Sending a wanted order is idempotent: nothing is sent while an attempt is in flight, and
+ * after an unknown outcome the same order is sent again with the same id. Only a definite failure, or a report that
+ * shows that the effect was undone, creates a new order.
  *
  * @public
  */
@@ -82,31 +82,31 @@
     private readonly progress = new Map<string, Progress>();
     /** Orders that may still take effect, by target. */
     private readonly open = new Map<string, Set<Progress>>();
-    /** When the last order to each target came to a known end. */
+    /** The monotonic time at which the outcome of the last order to each target became known. */
     private readonly settled = new Map<string, number>();
     private readonly refusals: Refusals;
 
     constructor(options: OrderSenderOptions) {
-        const nothing = () => undefined;
-        const defaults = { record: nothing, retryDelay: 5_000, onStaleFence: nothing, onFailure: nothing };
+        const noop = () => undefined;
+        const defaults = { record: noop, retryDelay: 5_000, onStaleFence: noop, onFailure: noop };
         this.options = withDefaults(defaults, options);
         this.refusals = new Refusals(options.clock);
     }
 
     /**
-     * Sends an order if the lease is held and no earlier try makes it needless. Does not wait for its end.
+     * Sends an order if the lease is held and no earlier attempt makes it unnecessary. Does not wait for the result.
      */
     send(lease: Lease, wanted: WantedOrder): void {
-        const progress = this.find(orderId({ ...wanted, attempt: 0 }), wanted);
+        const progress = this.findOrCreate(orderId({ ...wanted, attempt: 0 }), wanted);
         if (this.isDue(progress, wanted)) {
             this.sendAttempt(lease, progress);
         }
     }
 
     /**
-     * Tells from when on reports of a target show the effect of every order sent to it so far.
+     * Returns the time after which reports of a target show the effect of every order sent to it so far.
      *
-     * @returns Undefined while some order may still take effect.
+     * @returns A monotonic time, or undefined while some order may still take effect.
      */
     settledSince(target: string, incarnation: string): number | undefined {
         const open = [...this.open.get(target) ?? []];
@@ -115,18 +115,18 @@
             : this.settled.get(target) ?? -Infinity;
     }
 
-    /** The versions that a target has refused to load several times, not long ago. */
+    /** Returns the model versions that a target has recently and repeatedly refused to load. */
     refusedBy(target: string): readonly RefusedVersion[] {
-        return this.refusals.of(target);
+        return this.refusals.listFor(target);
     }
 
     /**
-     * Sends every order of unknown outcome again, also those no longer wanted, since a lost order can still arrive. The
-     * repeat has the same id, so that whichever arrives later has no effect.
+     * Resends every order whose outcome is unknown, including those no longer wanted, since a lost order can still
+     * arrive. The repeat has the same id, so whichever arrives second has no effect.
      *
-     * @param isCurrent - Tells whether a start of an agent is still the one in place; orders to others never arrive.
+     * @param isCurrent - Checks whether an incarnation of an agent is the current one; orders to others never arrive.
      */
-    resolve(lease: Lease, isCurrent: (target: string, incarnation: string) => boolean): void {
+    resendUnresolved(lease: Lease, isCurrent: (target: string, incarnation: string) => boolean): void {
         const open = [...this.open.values()].flatMap(orders => [...orders]);
         for (const progress of open.filter(({ pending }) => !pending)) {
             if (isCurrent(progress.wanted.target, progress.wanted.incarnation)) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Forgets everything. To be called when the duty has changed hands. */
+    /** Discards all state. Must be called when the duty has a new holder. */
     clear(): void {
         this.progress.clear();
         this.open.clear();
@@ -152,7 +152,7 @@
         void lease.checked(fence => this.issue({ id, fence, action: wanted.action }, progress));
     }
 
-    private find(key: string, wanted: WantedOrder): Progress {
+    private findOrCreate(key: string, wanted: WantedOrder): Progress {
         const known = this.progress.get(key);
         if (known !== undefined) {
             return known;
@@ -167,13 +167,13 @@
             issued: false,
         };
         this.progress.set(key, progress);
-        this.forgetOldest();
+        this.evictOldest();
         return progress;
     }
 
-    private forgetOldest(): void {
+    private evictOldest(): void {
         for (const [key, progress] of this.progress) {
-            if (this.progress.size <= rememberedOrders) {
+            if (this.progress.size <= maxTrackedOrders) {
                 return;
             }
             if (!this.open.get(progress.wanted.target)?.has(progress)) {
@@ -192,7 +192,7 @@
         if (observedAt <= progress.appliedAt) {
             return false;
         }
-        // The report is younger than the effect, which must have been undone since.
+        // The report was requested after the order was applied, so the effect must have been undone in between.
         this.startNewAttempt(progress);
         return true;
     }
@@ -215,17 +215,17 @@
         progress.pending = false;
         if (outcome.isOk) {
             this.close(progress);
-            this.refusals.note(target, order.action, false);
+            this.refusals.recordResult(target, order.action, false);
             progress.appliedAt = this.options.clock.now();
             progress.failures = 0;
         }
         else {
-            this.takeFailure(order, progress, outcome.error);
+            this.handleFailure(order, progress, outcome.error);
         }
         return outcome;
     }
 
-    /** Notes that an order can no longer take effect. */
+    /** Marks an order as unable to take effect any more. */
     private close(progress: Progress): void {
         const { target } = progress.wanted;
         const orders = this.open.get(target);
@@ -236,7 +236,7 @@
         this.settled.set(target, this.options.clock.now());
     }
 
-    private takeFailure(order: Order, progress: Progress, reason: Failure): void {
+    private handleFailure(order: Order, progress: Progress, reason: Failure): void {
         const isUnknown = unknownCodes.includes(reason.code.number);
         this.options.onFailure(order, progress.wanted.target, reason);
         if (isUnknown) {
@@ -244,7 +244,7 @@
         }
         this.close(progress);
         if (refusalCodes.includes(reason.code.number)) {
-            this.refusals.note(progress.wanted.target, order.action, true);
+            this.refusals.recordResult(progress.wanted.target, order.action, true);
         }
         if (reason.code === platformCodes.staleFence) {
             this.options.onStaleFence();
--- a/packages/control/src/lib/orders/Refusals.ts
+++ b/packages/control/src/lib/orders/Refusals.ts
@@ -12,12 +12,14 @@
     latest: number;
 }
 
-const enough = 5;
-const memoryTime = 300_000;
+/** Consecutive refusals after which a target counts as refusing a version. */
+const refusalThreshold = 5;
+/** Milliseconds after its latest refusal for which a version counts as refused. */
+const refusalRetention = 300_000;
 
 /**
- * Remembers which loads targets have refused, such as for lack of memory, so that the version is placed elsewhere for a
- * while.
+ * Counts the loads that targets refuse, for example for lack of memory, so that the version is temporarily placed on
+ * other targets.
  *
  * @internal
  */
@@ -26,8 +28,8 @@
 
     constructor(private readonly clock: Clock) {}
 
-    /** Notes how an order ended. Only loads count. */
-    note(target: string, action: Order["action"], isRefused: boolean): void {
+    /** Records the result of an order. Orders other than loads are ignored. */
+    recordResult(target: string, action: Order["action"], isRefused: boolean): void {
         if (action.kind !== "load") {
             return;
         }
@@ -39,11 +41,11 @@
         this.entries.set(target, own);
     }
 
-    /** The versions that a target has refused several times, not long ago. */
-    of(target: string): RefusedVersion[] {
-        const oldest = this.clock.now() - memoryTime;
+    /** Returns the versions that a target has recently and repeatedly refused. */
+    listFor(target: string): RefusedVersion[] {
+        const oldest = this.clock.now() - refusalRetention;
         const own = [...this.entries.get(target)?.values() ?? []];
-        return own.filter(({ count, latest }) => count >= enough && latest > oldest);
+        return own.filter(({ count, latest }) => count >= refusalThreshold && latest > oldest);
     }
 
     clear(): void {
--- a/packages/control/src/lib/orders/TargetPort.ts
+++ b/packages/control/src/lib/orders/TargetPort.ts
@@ -3,13 +3,13 @@
 import { z } from "zod";
 
 /**
- * What the agent beside a target reports when a duty asks.
+ * The report that a target's agent returns to the holder of a duty.
  *
  * @public
  */
 export const targetReportSchema = z.object({
     info: engineInfoSchema,
-    /** Model versions that requests are running on or waiting for. */
+    /** Model versions that requests are running on or queued for. */
     inUse: z.array(z.object({ model: z.string(), version: z.string() })),
 });
 
@@ -21,7 +21,7 @@
 export type TargetReport = z.infer<typeof targetReportSchema>;
 
 /**
- * A report, and which start of the agent gave it.
+ * A report, and the incarnation of the agent that sent it.
  *
  * @public
  */
@@ -30,23 +30,23 @@
 }
 
 /**
- * The way to the agents beside the targets.
+ * The interface through which a duty reaches the agents of the targets.
  *
  * @public
  */
 export interface TargetPort {
     /**
-     * Asks for a report. The agent notes the fence before it answers and refuses older ones from then on, so that no
+     * Requests a report. The agent stores the fence before it answers and refuses older ones from then on, so that no
      * order of an earlier holder can change what was reported.
      *
      * @returns The report; `staleFence` if the agent has seen a higher fence.
      */
     observe(target: string, fence: number): Promise<Outcome<Observation>>;
     /**
-     * Sends an order to one start of an agent. Another start of it never gets the order, since it cannot know whether
-     * it was carried out before.
+     * Sends an order to one incarnation of an agent. Other incarnations never receive the order, since they cannot know
+     * whether it has already been applied.
      *
-     * @returns `notConnected` if that start of the agent is gone and nothing was sent.
+     * @returns `notConnected` if that incarnation is no longer running and nothing was sent.
      */
     order(target: string, incarnation: string, order: Order): Promise<Outcome<void>>;
 }
--- a/packages/control/src/lib/orders/createObserveMethod.ts
+++ b/packages/control/src/lib/orders/createObserveMethod.ts
@@ -12,9 +12,9 @@
  */
 export interface ObserveMethodOptions {
     readonly engine: Pick<Engine, "info">;
-    /** Notes a fence at the agent's gate; fails with `staleFence` if the gate has seen a higher one. */
+    /** Stores a fence in the agent; fails with `staleFence` if the agent has seen a higher one. */
     readonly noteFence: (fence: number) => Outcome<void>;
-    /** Model versions that requests are running on or waiting for. */
+    /** Returns the model versions that requests are running on or queued for. */
     readonly inUse: () => TargetReport["inUse"];
 }
 
@@ -29,7 +29,7 @@
     return async params => {
         const parsed = parametersSchema.safeParse(params);
         if (!parsed.success) {
-            return Result.err(failure(requestCodes.malformed, "a report needs a fence"));
+            return Result.err(failure(requestCodes.malformed, "expected a report request with an integer fence"));
         }
         const noted = options.noteFence(parsed.data.fence);
         if (noted.isErr) {
--- a/packages/control/src/lib/orders/orderId.ts
+++ b/packages/control/src/lib/orders/orderId.ts
@@ -2,24 +2,25 @@
 import { createHash } from "node:crypto";
 
 /**
- * Everything that makes an order the same as another.
+ * The properties that identify an order.
  *
  * @internal
  */
 export interface OrderIdentity {
     readonly target: string;
-    /** The start of the agent that is to carry it out. */
+    /** The incarnation of the agent that is to apply the order. */
     readonly incarnation: string;
     readonly action: Order["action"];
-    /** Counts the tries after a definite failure, or after the effect was undone. */
+    /** Incremented after a definite failure, or when the effect has been undone. */
     readonly attempt: number;
 }
 
 const digestLength = 16;
 
 /**
- * The id of an order. It depends only on what is wanted of which start of an agent, and not on why, so a repeat after an unknown outcome, also by the next holder
- * of the duty, is the same order, and the agent carries it out once.
+ * Computes the id of an order. It depends only on the action, the incarnation of the agent and the attempt. A repeat
+ * after an unknown outcome, even by the next holder of the duty, is therefore the same order, and the agent applies it
+ * once.
  *
  * @internal
  */
--- a/packages/control/src/lib/orders/orders.test.ts
+++ b/packages/control/src/lib/orders/orders.test.ts
@@ -51,7 +51,7 @@
     assert.equal(new Set(sent.map(({ id }) => id)).size, 1);
 });
 
-test("a definite failure waits, then makes a new order", async () => {
+test("after a definite failure a new order is sent once the retry delay has passed", async () => {
     const { clock, sent, send } = await senderWith([err(requestCodes.engineFailed)]);
     await send();
     await send();
@@ -61,7 +61,7 @@
     assert.equal(new Set(sent.map(({ id }) => id)).size, 2);
 });
 
-test("a refusal for its fence makes a new order if the lease is still held", async () => {
+test("after a refusal for a stale fence a new order is sent if the lease is still held", async () => {
     const { clock, sent, send } = await senderWith([err(platformCodes.staleFence)]);
     await send();
     clock.advance(5_000);
@@ -69,7 +69,7 @@
     assert.equal(new Set(sent.map(({ id }) => id)).size, 2);
 });
 
-test("an unload that requests still hold up is asked for again after a second, as a new order", async () => {
+test("an unload refused because the version is in use is sent again after a second, as a new order", async () => {
     const refusal = Result.err<void, ReturnType<typeof failure>>(
         failure(platformCodes.inUse, "in use", { retryAfter: 1000 }),
     );
@@ -83,11 +83,11 @@
     clock.advance(1000);
     await send();
     await send();
-    assert.equal(sent.length, 3, "the third was carried out");
+    assert.equal(sent.length, 3, "the third order was applied");
     assert.equal(new Set(sent.map(({ id }) => id)).size, 3);
 });
 
-test("an order that took effect is not sent again, unless a later report shows it undone", async () => {
+test("an order that took effect is not sent again, unless a later report shows that it was undone", async () => {
     const { clock, sent, send } = await senderWith([]);
     const before = clock.now();
     clock.advance(10);
@@ -102,7 +102,7 @@
     assert.equal(new Set(sent.map(({ id }) => id)).size, 3);
 });
 
-test("without the lease nothing is sent", async () => {
+test("nothing is sent without the lease", async () => {
     const { lease, sent, send } = await senderWith([]);
     await lease.release();
     await send();
@@ -120,7 +120,7 @@
     assert.equal(requests, 1);
 });
 
-test("a report notes the fence first and is refused to an older holder", async () => {
+test("a report request stores its fence first, and one with an older fence is refused", async () => {
     const noted: number[] = [];
     const info = { slots: 1, held: [], memory: 1, freeMemory: 1, role: "idle" as const, checksFence: false };
     const method = createObserveMethod({
@@ -138,7 +138,7 @@
     assert.deepEqual(noted, [4, 5]);
 });
 
-test("permits bound loads over all duties and keep room for urgent ones", async () => {
+test("permits limit loads over all duties and reserve some for urgent loads", async () => {
     const clock = new ManualClock();
     const store = new ScriptedStore();
     const [a, b] = [await heldLease(store, clock, "orders/a"), await heldLease(store, clock, "orders/b", "q")];
@@ -152,7 +152,7 @@
     assert.equal((await grant(a, loads("a", 20))).length, 6);
     assert.deepEqual(await grant(b, loads("b", 20)), []);
     assert.deepEqual(await grant(b, [...loads("b", 20), ...loads("u", 9, true)]), ["u0", "u1"]);
-    // The next holder of a duty carries on with the same loads; as they end, the other duty gets its fair part.
+    // The next holder of a duty keeps the permits of its loads; as these end, the other duty gets its fair share.
     assert.equal((await grant(a, loads("a", 20))).length, 6);
     assert.deepEqual(await grant(a, loads("a", 20).slice(4)), ["a4", "a5", "a6"]);
     assert.deepEqual((await grant(b, [...loads("b", 20), ...loads("u", 2, true)])).sort(), ["b0", "u0", "u1"]);
--- a/packages/control/src/lib/rollout/Fleet.ts
+++ b/packages/control/src/lib/rollout/Fleet.ts
@@ -8,7 +8,7 @@
 import { type SiteModel, type SitePlacement, type SiteTarget, type SiteView } from "./SiteView.js";
 
 /**
- * The targets of a data centre while one plan is made: which are free, and how much memory is spoken for.
+ * Tracks, while one plan is created, which targets of a data centre are free and how much of their memory is reserved.
  *
  * @internal
  */
@@ -29,12 +29,12 @@
         this.free = new Map(free.map(target => [target.name, toPlacement(target)]));
     }
 
-    /** Targets on which nothing is placed, and that have not refused the version. */
+    /** Returns the targets on which nothing is placed and that have not refused the model version. */
     freeTargets(model: PlacementModel): PlacementTarget[] {
         return [...this.free.values()].filter(({ name }) => this.accepts(name, model));
     }
 
-    /** Live targets that the placement may fill. */
+    /** Returns the live targets that are available for placement: without a service of their own and without pins. */
     placeable(): SiteTarget[] {
         return [...this.view.targets.values()].filter(({ alive, spec }) =>
             alive && spec.service === undefined && spec.holds.length === 0
@@ -45,18 +45,18 @@
         return this.view.targets.get(target)?.alive ?? false;
     }
 
-    /** True if no pin speaks against placing layers on the target. */
+    /** Returns true if operators have pinned layers to the target. */
     isPinned(target: string): boolean {
         return (this.view.targets.get(target)?.spec.holds.length ?? 0) > 0;
     }
 
-    /** Takes the targets of new stages out of the free ones. */
-    take(stages: readonly PipelineStage[], model: PlacementModel): void {
+    /** Reserves the targets of new stages, which are then no longer free. */
+    allocate(stages: readonly PipelineStage[], model: PlacementModel): void {
         this.reserve(stages, model.layerBytes);
         stages.forEach(({ target }) => this.free.delete(target));
     }
 
-    /** Tells whether stages fit beside what is placed on their targets already. */
+    /** Checks whether stages fit on their targets in addition to what is already placed there. */
     fitsBeside(stages: readonly PipelineStage[], model: PlacementModel): boolean {
         return stages.every(({ target, first, last }) => {
             const found = this.view.targets.get(target);
@@ -65,7 +65,7 @@
         });
     }
 
-    /** The targets of a pipeline, as if nothing were placed on them. */
+    /** Returns the live, unpinned targets of a pipeline with their full memory, as if nothing were placed on them. */
     targetsOf(stages: readonly PipelineStage[]): PlacementTarget[] {
         return stages.flatMap(({ target }) => {
             const found = this.view.targets.get(target);
@@ -85,17 +85,17 @@
     }
 }
 
-/** The part of a model that the placement needs. @internal */
+/** Extracts the properties of a model that placement uses. @internal */
 export function placementModel({ name, spec }: SiteModel): PlacementModel {
     const { layers, layerBytes, activationBytes, current } = spec;
     return { name, version: current, layers, layerBytes, activationBytes };
 }
 
 /**
- * How many pipelines can serve at the same time: those that are ready, whole, and share no target with another that
- * has been counted.
+ * Counts the pipelines that can serve at the same time: those that serve and share no target with a pipeline that has
+ * already been counted.
  *
- * @param placements - The most important first.
+ * @param placements - The placements, most important first.
  * @internal
  */
 export function countCapacity(
--- a/packages/control/src/lib/rollout/PlacementStore.test.ts
+++ b/packages/control/src/lib/rollout/PlacementStore.test.ts
@@ -72,7 +72,7 @@
     assert.ok((await placements.writePlacement(ready, guard, "c3")).isOk, "a renewal does not break the guard");
 });
 
-test("after a takeover the old holder's changes fail", async () => {
+test("changes by the old holder fail after a takeover", async () => {
     const { clock, table, guard, lease, placements } = await setUp();
     await lease.release();
     const next = new Lease({ store: table, clock, duty, holder: "q", incarnation: "1" });
@@ -85,7 +85,7 @@
     assert.equal((await placements.readRevision()).unwrapOr(-1), before);
 });
 
-test("a stale read of the revision is noticed", async () => {
+test("a stale read of the revision is detected", async () => {
     const { table, guard, placements } = await setUp();
     const row = await table.get(headKey);
     const old = { get: async () => row, commit: table.commit.bind(table), findCommit: table.findCommit.bind(table) };
--- a/packages/control/src/lib/rollout/PlacementStore.ts
+++ b/packages/control/src/lib/rollout/PlacementStore.ts
@@ -10,21 +10,21 @@
 const headRevisionSchema = z.object({ revision: z.number().int() });
 
 /**
- * Reads and writes what a {@link SiteDuty} needs of the accepted configuration, through the store of resources.
+ * Reads the accepted revision and writes placements for a {@link SiteDuty}, through the resource store.
  *
  * @public
  */
 export class PlacementStore {
     /**
-     * @param resources - Accepts the changes.
-     * @param table - The table service that holds the resources.
+     * @param resources - The resource store that accepts the changes.
+     * @param table - The table service that stores the resources.
      */
     constructor(private readonly resources: Pick<ResourceStore, "apply">, private readonly table: TableStore) {}
 
     /**
      * Reads the latest accepted revision. A transaction without writes confirms that the read was not stale.
      *
-     * @returns `conditionFailed` for a read that was stale, or when the next revision was accepted meanwhile.
+     * @returns The revision; `conditionFailed` if the read was stale or another revision has been accepted since.
      */
     async readRevision(): Promise<Outcome<number>> {
         const row = await this.table.get(headKey);
@@ -39,15 +39,16 @@
         }
         const head = version === 0 ? { revision: 0 } : headRevisionSchema.safeParse(value).data;
         return head === undefined
-            ? Result.err(failure(platformCodes.storeUnavailable, "the head of the log cannot be read"))
+            ? Result.err(failure(platformCodes.storeUnavailable, "the head of the configuration log cannot be read"))
             : Result.ok(head.revision);
     }
 
     /**
-     * Writes a change of a placement.
+     * Creates, updates or deletes a placement.
      *
-     * @param changeId - The same when a change of unknown outcome is repeated.
-     * @returns The revision that holds the change.
+     * @param guard - The row version that must be unchanged for the write to be accepted.
+     * @param changeId - The idempotency id of the change; repeating a change of unknown outcome must use the same id.
+     * @returns The revision that contains the change.
      */
     async writePlacement(
         { name, spec, resourceVersion }: PlacementChange,
--- a/packages/control/src/lib/rollout/SiteDuty.test.ts
+++ b/packages/control/src/lib/rollout/SiteDuty.test.ts
@@ -29,7 +29,7 @@
     assert.deepEqual(checkHistory(site.lines).violations.filter(({ rule }) => rule === "orders"), []);
 }
 
-/** The stages of all ready pipelines, whatever their names. */
+/** Returns the stages of all ready pipelines, without the placement names. */
 function layout(site: SiteWorld): string[] {
     const stages = site.ready.map(({ spec }) =>
         `${spec.version} ${spec.stages.map(({ target, first, last }) => `${target}:${first}-${last}`).join(" ")}`
@@ -37,7 +37,7 @@
     return stages.sort();
 }
 
-test("another holder carries on from any step to the same end", async () => {
+test("another holder continues from any step and reaches the same result", async () => {
     const undisturbed = await deployed(beside);
     undisturbed.setModel({ current: "v2" });
     await undisturbed.run(90_000);
@@ -86,7 +86,7 @@
         await site.run(3_000);
         site.pause(site.holder!);
         site.messageFaults.length = 0;
-        // The next holder gives other orders, so that the delayed ones are not just repeats.
+        // The next holder sends different orders, so that the delayed ones are not repeats of them.
         site.setModel({ current: "v1" });
         site.setAdapters(["polite"]);
         await site.run(60_000);
@@ -96,7 +96,7 @@
     }
 });
 
-test("a delayed unload never hits a pipeline that has become ready", async () => {
+test("a delayed unload never affects a pipeline that has become ready", async () => {
     for (let seed = 1; seed <= 8; seed++) {
         const site = await deployed({ ...tight, seed, faultless: true });
         site.setModel({ current: "v2" });
@@ -120,7 +120,7 @@
     while (!site.ready.some(({ spec }) => spec.version === "v2")) {
         await site.run(500);
     }
-    // The next change removes an old pipeline, which the next holder will count on.
+    // The next change removes an old pipeline, which the next holder expects to keep.
     site.changeFaults.push("late");
     while (site.changeFaults.length > 0) {
         await site.run(500);
@@ -129,11 +129,11 @@
     site.setModel({ current: "v1" });
     await site.run(90_000);
     assert.equal(site.capacity(), 4);
-    assert.ok(site.lowest >= 4, `capacity fell to ${site.lowest}`);
+    assert.ok(site.lowestCapacity >= 4, `capacity fell to ${site.lowestCapacity}`);
     assertSafe(site);
 });
 
-test("a new holder that is behind touches nothing until it has caught up", async () => {
+test("a new holder whose configuration lags changes nothing until it has caught up", async () => {
     const site = await deployed(beside);
     const first = site.holder!;
     site.holders.filter(holder => holder !== first).forEach(holder => holder.lag = 90_000);
@@ -165,7 +165,7 @@
     assertSafe(site);
 });
 
-test("a version that cannot be loaded takes no capacity away", async () => {
+test("a version that cannot be loaded does not reduce capacity", async () => {
     const site = await deployed(beside);
     site.targets.forEach(target => target.failsLoads = true);
     site.setModel({ current: "v2" });
@@ -178,7 +178,7 @@
     assertSafe(site);
 });
 
-test("a lost stage is replaced alone, a lost site is left as it is", async () => {
+test("only the lost stage of a pipeline is replaced, and nothing changes when a whole site is lost", async () => {
     const site = await deployed(beside);
     const before = layout(site);
     site.targets.get("t00")!.die();
@@ -207,7 +207,7 @@
     assert.deepEqual(await adapters(), [...Array<string>(2).fill("idle "), ...Array<string>(8).fill("serving ")]);
 });
 
-test("a target that refuses a version is left out", async () => {
+test("a target that refuses a version is not used for it", async () => {
     const site = new SiteWorld(beside);
     site.targets.get("t00")!.failsLoads = true;
     await site.run(200_000);
--- a/packages/control/src/lib/rollout/SiteDuty.ts
+++ b/packages/control/src/lib/rollout/SiteDuty.ts
@@ -11,7 +11,13 @@
 import { withDefaults } from "../support/withDefaults.js";
 import { type PlanOptions, planSite } from "./planSite.js";
 import { SiteState } from "./SiteState.js";
-import { type Leftover, type PlacementChange, type SiteOrder, type SitePlan, type SiteView } from "./SiteView.js";
+import {
+    type PlacementChange,
+    type SiteOrder,
+    type SitePlan,
+    type SiteView,
+    type UnneededVersion,
+} from "./SiteView.js";
 
 /**
  * Options of {@link SiteDuty}.
@@ -25,13 +31,14 @@
     readonly configuration: Configuration;
     readonly store: TableStore;
     readonly targets: TargetPort;
-    /** The start of a target's agent that membership knows to be live and not leaving, if any. */
+    /** Returns the incarnation of a target's agent that membership reports as live and not leaving, if any. */
     readonly incarnationOf: (target: string) => string | undefined;
-    /** The latest accepted revision, from the store itself and not from a read that may be stale. */
+    /** Reads the latest accepted revision. The read must not be stale. */
     readonly readRevision: () => Promise<Outcome<number>>;
     /**
-     * Writes a placement on condition of its version, and of a row of the store that changes when another process takes
-     * the duty over. A repeat after an unknown outcome has the same id. Returns the revision that holds the change.
+     * Writes a placement on condition of its version and of the guard, a row of the store that changes when another
+     * process takes the duty over. A repeat after an unknown outcome uses the same change id. Returns the revision that
+     * contains the change.
      */
     readonly writePlacement: (
         change: PlacementChange,
@@ -40,22 +47,22 @@
     ) => Promise<Outcome<number>>;
     readonly record?: HistoryRecorder;
     readonly plan?: PlanOptions;
-    /** How many loads may run at once in the whole system. */
+    /** Maximum number of loads that run at once in the whole system. */
     readonly loadLimit?: number;
-    /** Milliseconds for which membership may miss a target before its stages are replaced. */
+    /** Milliseconds for which a target may be missing from membership before its stages are replaced. */
     readonly grace?: number;
     /**
-     * Milliseconds for which a model version must have been unneeded and unused before it is unloaded. Longer than a
-     * change takes to be in force everywhere, so that no process sends new requests to it.
+     * Milliseconds for which a model version must have been unneeded before it is unloaded. Longer than a configuration
+     * change takes to reach every process, so that no process sends new requests to it.
      */
     readonly drainDelay?: number;
     /** Milliseconds between two reports of a target that is changing. */
     readonly observeInterval?: number;
-    /** Targets that are asked for a report in each step although nothing is known to change there. */
+    /** Number of targets that are asked for a report in each step even if no change is expected there. */
     readonly auditedTargets?: number;
-    /** Changes of placements written in one step. */
+    /** Maximum number of placement changes written in one step. */
     readonly changesPerStep?: number;
-    /** Is told of failures, for logs. */
+    /** Called with failures, for logging. */
     readonly onFailure?: (message: string, failure: Failure) => void;
 }
 
@@ -66,27 +73,27 @@
  */
 export type RowCondition = Transaction["conditions"][number];
 
-/** One holding of the duty. */
+/** The state of one term, in which this process holds the duty under one fence. */
 interface Term {
     readonly fence: number;
-    /** The fence row as it was written when the lease was taken. */
+    /** The term row that was written when the lease was acquired. It is deleted when another process takes over. */
     readonly guard: RowCondition;
-    /** What must be in force here before anything is decided; undefined while it has to be read. */
+    /** The revision that must be in force in this process before it plans; undefined while it has to be read. */
     requiredRevision: number | undefined;
-    /** A change whose outcome is unknown, and which may still take effect. */
-    doubtful: DoubtfulChange | undefined;
+    /** A change whose outcome is unknown and that may still take effect. */
+    unresolved: UnresolvedChange | undefined;
 }
 
-interface DoubtfulChange {
+interface UnresolvedChange {
     readonly change: PlacementChange;
     readonly changeId: string;
 }
 
-/** What a duty's holder is doing, for operators. @public */
+/** The current activity of the holder of a duty, for operators. @public */
 export interface SiteStatus {
-    /** The state of each placement in the chart of pipelines. */
+    /** The state of each placement in the pipeline state chart, by placement name. */
     readonly pipelines: ReadonlyMap<string, string>;
-    /** The state of each model in the chart of rollouts. */
+    /** The state of each model in the rollout state chart, by model name. */
     readonly rollouts: ReadonlyMap<string, string>;
 }
 
@@ -100,8 +107,8 @@
 };
 
 /**
- * The duty of one data centre: places pipelines, loads what they need, rolls out versions, replaces failed stages and
- * unloads what is left over. Each step is planned from the configuration in force and the targets' reports alone.
+ * The duty of one data centre: places pipelines, loads their layers, rolls out versions, replaces failed stages and
+ * unloads unneeded versions. Each step is planned only from the configuration in force and the reports of the targets.
  *
  * @public
  */
@@ -126,35 +133,41 @@
         this.state = this.createState();
     }
 
-    /** What the last step found. Empty in a process that does not hold the duty. */
+    /** The result of the last step. Empty in a process that has not held the duty. */
     get status(): SiteStatus {
         return this.latest;
     }
 
     async tick(lease: Lease): Promise<void> {
-        if (!await this.isPrepared(lease) || this.term === undefined) {
+        if (!await this.prepareTerm(lease) || this.term === undefined) {
             return;
         }
         this.state.refresh();
         await this.observe(lease);
         const plan = planSite(this.state.view(), this.options.plan);
         this.latest = plan;
-        if (!await this.write(lease, this.term, plan.changes)) {
+        if (!await this.writeChanges(lease, this.term, plan.changes)) {
             return;
         }
         const view = this.state.view();
-        this.sender.resolve(lease, (target, incarnation) => this.options.incarnationOf(target) === incarnation);
+        this.sender.resendUnresolved(
+            lease,
+            (target, incarnation) => this.options.incarnationOf(target) === incarnation,
+        );
         await this.sendOrders(lease, view, plan);
-        // A target on which something was placed just now may need again what was left over.
+        // A version that the plan lists as unneeded may be needed again on a target that has just got a new placement.
         const changed = new Set(plan.changes.flatMap(({ spec }) => spec?.stages.map(({ target }) => target) ?? []));
-        this.unload(lease, view, plan.leftovers.filter(({ target }) => !changed.has(target)));
+        this.unload(lease, view, plan.unneededVersions.filter(({ target }) => !changed.has(target)));
     }
 
     /**
-     * A new holder forgets what it saw under an older fence, and waits until everything that earlier holders wrote is in
-     * force here. Otherwise it would take their latest placements for leftovers.
+     * Prepares this process to plan under the current fence. A new holder discards what it observed under an older
+     * fence and waits until everything that earlier holders wrote is in force in this process. Otherwise it would treat
+     * the versions of their latest placements as unneeded.
+     *
+     * @returns True if this process may plan the next step.
      */
-    private async isPrepared(lease: Lease): Promise<boolean> {
+    private async prepareTerm(lease: Lease): Promise<boolean> {
         const { fence } = lease;
         if (fence === undefined) {
             return false;
@@ -164,19 +177,19 @@
             if (guard === undefined) {
                 return false;
             }
-            this.term = { fence, guard, requiredRevision: undefined, doubtful: undefined };
+            this.term = { fence, guard, requiredRevision: undefined, unresolved: undefined };
             this.state = this.createState();
             this.permits = this.createPermits();
             this.sender.clear();
             this.unneededSince.clear();
         }
-        if (this.term.doubtful !== undefined && !await this.resolveDoubt(lease, this.term, this.term.doubtful)) {
+        if (this.term.unresolved !== undefined && !await this.resolveChange(lease, this.term, this.term.unresolved)) {
             return false;
         }
         if (this.term.requiredRevision === undefined) {
             const revision = await this.options.readRevision();
             if (revision.isErr) {
-                this.fail("revision not read", revision.error);
+                this.fail("cannot read the accepted revision", revision.error);
                 return false;
             }
             this.term.requiredRevision = revision.value;
@@ -187,28 +200,28 @@
     private async readGuard(fence: number): Promise<RowCondition | undefined> {
         const row = await this.options.store.get(termKey(this.name, fence));
         if (row.isErr) {
-            this.fail("fence not read", row.error);
+            this.fail("cannot read the term row", row.error);
             return undefined;
         }
-        // A stale read does not show the term yet, and a store that came back from a copy may lack it.
+        // A stale read may not contain the term row yet, and a store restored from a copy may lack it.
         const { key, version } = row.value;
         return version > 0 ? { key, version } : undefined;
     }
 
     /**
-     * Repeats a change until its outcome is known. Once the repeat is accepted, or fails since the placement has changed,
-     * the lost one can no longer take effect.
+     * Repeats a change of unknown outcome. Once the repeat is accepted, or fails because the placement has changed, the
+     * original can no longer take effect.
      *
-     * @returns True when nothing is in doubt any more.
+     * @returns True if the outcome is known.
      */
-    private async resolveDoubt(lease: Lease, term: Term, doubtful: DoubtfulChange): Promise<boolean> {
+    private async resolveChange(lease: Lease, term: Term, doubtful: UnresolvedChange): Promise<boolean> {
         const { change, changeId } = doubtful;
         const written = await lease.checked(() => this.options.writePlacement(change, term.guard, changeId));
         if (written.isOk) {
             this.state.accept(change, written.value);
         }
         const isOpen = written.isErr && (written.error.code.retry === "later" || !lease.isHeld());
-        term.doubtful = isOpen ? doubtful : undefined;
+        term.unresolved = isOpen ? doubtful : undefined;
         return !isOpen;
     }
 
@@ -218,18 +231,18 @@
         await Promise.all(due.map(async target => {
             const seen = await lease.checked(fence => this.options.targets.observe(target, fence));
             if (seen.isOk) {
-                this.state.report(target, seen.value, now);
+                this.state.recordReport(target, seen.value, now);
             }
             else {
-                this.fail(`target ${target} not observed`, seen.error);
+                this.fail(`cannot get a report from target ${target}`, seen.error);
             }
         }));
     }
 
-    /** Targets where something changes, those never seen that are needed, and a few others in turn. */
+    /** Selects targets that are changing, pinned targets without a report, and a few others in rotation. */
     private dueTargets(view: SiteView): string[] {
         const now = this.options.clock.now();
-        const changing = new Set([...this.unneededSince.keys()].map(key => parseLeftover(key).target));
+        const changing = new Set([...this.unneededSince.keys()].map(key => parseUnneededVersion(key).target));
         for (const { spec } of view.placements) {
             if (!spec.ready) {
                 spec.stages.forEach(({ target }) => changing.add(target));
@@ -249,17 +262,19 @@
     }
 
     /**
-     * Writes changes until one fails. After a failure what is in force may differ from what this process believes, and
-     * later changes rest on earlier ones, so nothing is decided before the accepted revision is in force here.
+     * Writes changes until one fails. Later changes depend on earlier ones, and after a failure the accepted state may
+     * differ from this process's view, so nothing is planned until the accepted revision is in force in this process.
+     *
+     * @returns True if every change was accepted.
      */
-    private async write(lease: Lease, term: Term, changes: readonly PlacementChange[]): Promise<boolean> {
+    private async writeChanges(lease: Lease, term: Term, changes: readonly PlacementChange[]): Promise<boolean> {
         for (const change of changes.slice(0, this.options.changesPerStep)) {
             const changeId = uniqueId();
             const written = await lease.checked(() => this.options.writePlacement(change, term.guard, changeId));
             if (written.isErr) {
                 this.fail(`placement ${change.name} not written`, written.error);
                 term.requiredRevision = undefined;
-                term.doubtful = written.error.code.execution === "unknown" ? { change, changeId } : undefined;
+                term.unresolved = written.error.code.execution === "unknown" ? { change, changeId } : undefined;
                 return false;
             }
             this.state.accept(change, written.value);
@@ -272,7 +287,7 @@
         const wanted = loads.map(order => ({ id: loadId(order), urgent: order.urgent, fits: order.fits }));
         const permits = await this.permits.update(lease, wanted);
         if (permits.isErr) {
-            this.fail("permits not updated", permits.error);
+            this.fail("cannot update the load permits", permits.error);
         }
         for (const order of plan.orders) {
             const isPermitted = order.action.kind !== "load" || (permits.isOk && permits.value.has(loadId(order)));
@@ -290,8 +305,8 @@
         }
     }
 
-    /** Unloads what has been unneeded for long enough and is not in use. */
-    private unload(lease: Lease, view: SiteView, leftovers: readonly Leftover[]): void {
+    /** Unloads the versions that have been unneeded for the drain delay and are not in use. */
+    private unload(lease: Lease, view: SiteView, leftovers: readonly UnneededVersion[]): void {
         const now = this.options.clock.now();
         const keys = new Set(leftovers.map(leftover => JSON.stringify(leftover)));
         [...this.unneededSince.keys()].filter(key => !keys.has(key)).forEach(key => this.unneededSince.delete(key));
@@ -333,11 +348,11 @@
     }
 }
 
-function parseLeftover(key: string): Leftover {
-    return JSON.parse(key) as Leftover;
+function parseUnneededVersion(key: string): UnneededVersion {
+    return JSON.parse(key) as UnneededVersion;
 }
 
-/** The same for as long as the load is wanted, whoever holds the duty. */
+/** Returns the id of a load, which does not change while the load is wanted, even if the duty changes its holder. */
 function loadId({ target, action }: SiteOrder): string {
     return action.kind === "load"
         ? [target, action.model, action.version, action.first, action.last].join("/")
--- a/packages/control/src/lib/rollout/SiteState.ts
+++ b/packages/control/src/lib/rollout/SiteState.ts
@@ -11,23 +11,26 @@
     readonly dataCentre: string;
     readonly clock: Clock;
     readonly configuration: Configuration;
-    /** The start of a target's agent that membership knows to be live, if any. */
+    /** Returns the incarnation of a target's agent that membership reports as live, if any. */
     readonly incarnationOf: (target: string) => string | undefined;
-    /** Milliseconds for which membership may miss a target before it counts as lost. */
+    /** Milliseconds for which a target may be missing from membership before it counts as lost. */
     readonly grace: number;
-    /** From when on reports of a start of an agent show the effect of every order; undefined while some are open. */
+    /**
+     * Returns the time after which reports show the effect of every order; undefined while some order is unresolved.
+     */
     readonly settledSince: (target: string, incarnation: string) => number | undefined;
-    /** Model versions that a target has refused to load several times, not long ago. */
+    /** Returns the model versions that a target has recently and repeatedly refused to load. */
     readonly refusedBy: (target: string) => readonly RefusedVersion[];
 }
 
 interface Report {
     readonly observation: Observation;
+    /** The monotonic time at which the report was requested. */
     readonly at: number;
 }
 
-/** A change that the store has accepted and that is not in force here yet. */
-interface OwnChange {
+/** A change that the store has accepted and that is not yet in force in this process. */
+interface PendingChange {
     readonly spec: PlacementSpec | undefined;
     readonly revision: number;
 }
@@ -35,17 +38,17 @@
 type DeclaredSite = Pick<SiteView, "models" | "adapters"> & { readonly targets: ReadonlyMap<string, SiteTarget>; };
 
 /**
- * What the holder of a duty knows of its data centre. All of it can be learned again, so nothing is lost with the
- * holder.
+ * The state that the holder of a duty keeps about its data centre. The next holder can rebuild all of it, so nothing is
+ * lost when a holder fails.
  *
  * @internal
  */
 export class SiteState {
     private readonly reports = new Map<string, Report>();
     private readonly lastSeen = new Map<string, number>();
-    private readonly ownChanges = new Map<string, OwnChange>();
+    private readonly pendingChanges = new Map<string, PendingChange>();
     private readonly started: number;
-    /** Targets that membership saw at the last refresh. */
+    /** Targets that membership reported as live at the last refresh. */
     private present = new Set<string>();
     private declared: { readonly revision: number; readonly site: DeclaredSite; } | undefined;
 
@@ -53,7 +56,7 @@
         this.started = options.clock.now();
     }
 
-    /** Notes which targets membership sees. To be called before each view. */
+    /** Updates which targets membership reports as live. Must be called before each step. */
     refresh(): void {
         const now = this.options.clock.now();
         this.present = new Set();
@@ -79,16 +82,16 @@
         return { dataCentre: this.options.dataCentre, models, adapters, targets: new Map(seen), placements };
     }
 
-    /** Takes a report of a target; a report asked for earlier than the one at hand is dropped. */
-    report(target: string, observation: Observation, at: number): void {
+    /** Stores a report of a target, unless it was requested earlier than the stored one. */
+    recordReport(target: string, observation: Observation, at: number): void {
         if ((this.reports.get(target)?.at ?? -Infinity) < at) {
             this.reports.set(target, { observation, at });
         }
     }
 
-    /** Notes an accepted change, so that it counts before the configuration in force has it. */
+    /** Records an accepted change, so that views include it before it is in force in this process. */
     accept({ name, spec }: PlacementChange, revision: number): void {
-        this.ownChanges.set(name, { spec, revision });
+        this.pendingChanges.set(name, { spec, revision });
     }
 
     private site(): DeclaredSite {
@@ -118,7 +121,7 @@
 
     private withReport(target: SiteTarget): SiteTarget {
         const { clock, grace } = this.options;
-        // A new holder gives every target the whole grace period.
+        // The grace period of a target that has not been seen starts when this process becomes the holder.
         const seen = this.lastSeen.get(target.name) ?? this.started;
         const report = this.reports.get(target.name);
         return {
@@ -145,9 +148,9 @@
                 found.set(name, { name, spec, resourceVersion });
             }
         }
-        for (const [name, { spec, revision }] of this.ownChanges) {
+        for (const [name, { spec, revision }] of this.pendingChanges) {
             if (configuration.revision >= revision) {
-                this.ownChanges.delete(name);
+                this.pendingChanges.delete(name);
             }
             else if (spec === undefined) {
                 found.delete(name);
--- a/packages/control/src/lib/rollout/SiteView.ts
+++ b/packages/control/src/lib/rollout/SiteView.ts
@@ -4,29 +4,29 @@
 import { type Observation } from "../orders/TargetPort.js";
 
 /**
- * A target as the holder of a duty sees it.
+ * The state of a target in a view.
  *
  * @public
  */
 export interface SiteTarget {
     readonly name: string;
     readonly spec: TargetSpec;
-    /** False once membership has missed the target for longer than the grace period. */
+    /** False once the target has been missing from membership for longer than the grace period. */
     readonly alive: boolean;
-    /** True if membership sees the target now. Only then does it count as capacity that allows other steps. */
+    /** True if membership currently reports the target as live. Only then does it count towards serving capacity. */
     readonly present: boolean;
-    /** The latest report under the present fence, if there is one. */
+    /** The latest report under the current fence, if any. */
     readonly observation?: Observation;
-    /** The monotonic time at which that report was asked for. */
+    /** The monotonic time at which that report was requested. */
     readonly observedAt?: number;
     /** True if the report shows the effect of every order sent to the target, and none can still take effect. */
     readonly settled: boolean;
-    /** Model versions that the target has refused to load several times, not long ago. */
+    /** Model versions that the target has recently and repeatedly refused to load. */
     readonly refused: readonly RefusedVersion[];
 }
 
 /**
- * A placement as the configuration holds it.
+ * A placement in the configuration.
  *
  * @public
  */
@@ -37,19 +37,19 @@
 }
 
 /**
- * A model, and what this data centre is to hold of it.
+ * A model, and the number of its pipelines that this data centre is to hold.
  *
  * @public
  */
 export interface SiteModel {
     readonly name: string;
     readonly spec: ModelSpec;
-    /** How many pipelines this data centre is to hold. */
+    /** Number of pipelines that this data centre is to hold. */
     readonly wanted: number;
 }
 
 /**
- * An adapter as the configuration holds it.
+ * An adapter in the configuration.
  *
  * @public
  */
@@ -59,8 +59,8 @@
 }
 
 /**
- * Everything that decisions about one data centre rest on: the configuration in force and what targets have reported.
- * Nothing else is remembered from one decision to the next, so any process can carry on.
+ * The input of planning for one data centre: the configuration in force and the reports of its targets. No other state
+ * is kept between steps, so any process can continue.
  *
  * @public
  */
@@ -79,44 +79,44 @@
  */
 export interface PlacementChange {
     readonly name: string;
-    /** Undefined to delete. */
+    /** The new spec, or undefined to delete the placement. */
     readonly spec?: PlacementSpec;
-    /** The version that the resource must have; 0 means that it must not exist. */
+    /** The current version that the resource must have; 0 if it must not exist. */
     readonly resourceVersion: number;
 }
 
 /**
- * An order that follows from a view.
+ * An order that the plan for a view requires.
  *
  * @public
  */
 export interface SiteOrder {
     readonly target: string;
     readonly action: Order["action"];
-    /** For loads: true if it replaces a failed stage of a pipeline that was serving. */
+    /** For loads: true if the load belongs to a pipeline that lacks few stages, such as one under repair. */
     readonly urgent: boolean;
-    /** For loads: false while there is no room and something else still goes or comes. */
+    /** For loads: false while memory is insufficient and other loads or unloads on the target are pending. */
     readonly fits: boolean;
 }
 
-/** A model version on a target that no placement or pin needs any more. @public */
-export interface Leftover {
+/** A model version that a target holds and that no placement or pin needs any more. @public */
+export interface UnneededVersion {
     readonly target: string;
     readonly model: string;
     readonly version: string;
 }
 
 /**
- * What a step of the duty of a data centre is to do.
+ * The changes and orders of one step of a data centre's duty.
  *
  * @public
  */
 export interface SitePlan {
     readonly changes: readonly PlacementChange[];
     readonly orders: readonly SiteOrder[];
-    readonly leftovers: readonly Leftover[];
-    /** The state of each placement in the chart of pipelines, by its name. */
+    readonly unneededVersions: readonly UnneededVersion[];
+    /** The state of each placement in the pipeline state chart, by placement name. */
     readonly pipelines: ReadonlyMap<string, string>;
-    /** The state of each model in the chart of rollouts, by its name. */
+    /** The state of each model in the rollout state chart, by model name. */
     readonly rollouts: ReadonlyMap<string, string>;
 }
--- a/packages/control/src/lib/rollout/holdings.ts
+++ b/packages/control/src/lib/rollout/holdings.ts
@@ -10,7 +10,7 @@
     readonly last: number;
 }
 
-/** What a target holds of the wanted layers, if it holds all of them. @internal */
+/** Returns the range held by a target that contains all wanted layers, if there is one. @internal */
 export function findHeld(target: SiteTarget, wanted: WantedLayers): HeldLayers | undefined {
     return target.observation?.info.held.find(held =>
         held.model === wanted.model && held.version === wanted.version
@@ -18,14 +18,14 @@
     );
 }
 
-/** The layers of a placement's stage. @internal */
+/** Returns the layers of a stage of a placement. @internal */
 export function stageLayers({ spec }: SitePlacement, { first, last }: PipelineStage): WantedLayers {
     return { model: spec.model, version: spec.version, first, last };
 }
 
 /**
- * Tells whether every stage of a placement is known to be ready to run: the target holds the layers, plays the serving
- * role, and no order under way can change that.
+ * Checks whether every stage of a placement is known to be ready to run: its target holds the layers, does not have the
+ * idle role, and no order in flight can change that.
  *
  * @internal
  */
@@ -38,8 +38,8 @@
 }
 
 /**
- * Tells whether some stage of a placement is known not to hold its layers. Targets that have not been observed get the
- * benefit of the doubt, since the placement was ready when its flag was set.
+ * Checks whether some target of a placement is known not to hold its layers. A target without a report is assumed to
+ * hold them, since the ready flag is set only when all targets do.
  *
  * @internal
  */
@@ -50,12 +50,12 @@
     });
 }
 
-/** Tells whether a target has refused to load a version. @internal */
+/** Checks whether a target has repeatedly refused to load a model version. @internal */
 export function isRefused(target: SiteTarget, wanted: Pick<WantedLayers, "model" | "version">): boolean {
     return target.refused.some(({ model, version }) => model === wanted.model && version === wanted.version);
 }
 
-/** Tells whether some stage of a placement cannot be loaded where it is. @internal */
+/** Checks whether some stage of a placement cannot be loaded on its target. @internal */
 export function isStuck(placement: SitePlacement, view: SiteView): boolean {
     return placement.spec.stages.some(stage => {
         const target = view.targets.get(stage.target);
@@ -64,12 +64,12 @@
     });
 }
 
-/** Tells whether some stage's target is lost, or no longer declared. @internal */
+/** Checks whether the target of some stage is lost or no longer declared. @internal */
 export function isDamaged(placement: SitePlacement, view: SiteView): boolean {
     return placement.spec.stages.some(({ target }) => view.targets.get(target)?.alive !== true);
 }
 
-/** Tells whether membership sees the targets of every stage now. @internal */
+/** Checks whether membership currently reports the targets of all stages as live. @internal */
 export function isPresent(placement: SitePlacement, view: SiteView): boolean {
     return placement.spec.stages.every(({ target }) => view.targets.get(target)?.present === true);
 }
--- a/packages/control/src/lib/rollout/placementName.ts
+++ b/packages/control/src/lib/rollout/placementName.ts
@@ -5,7 +5,7 @@
 const digestLength = 20;
 
 /**
- * The first part of the names of a model's placements in a data centre.
+ * Returns the common prefix of the names of a model's placements in a data centre.
  *
  * @internal
  */
@@ -18,8 +18,8 @@
 }
 
 /**
- * The lowest free name of a placement. Two holders that create a placement at once choose the same name, so only one
- * of them succeeds.
+ * Returns the placement name with the lowest unused index. Two holders that create a placement at the same time choose
+ * the same name, so only one of them succeeds.
  *
  * @internal
  */
--- a/packages/control/src/lib/rollout/planOrders.ts
+++ b/packages/control/src/lib/rollout/planOrders.ts
@@ -1,48 +1,54 @@
 import { findHeld, stageLayers, type WantedLayers } from "./holdings.js";
-import { type Leftover, type SiteOrder, type SitePlacement, type SiteTarget, type SiteView } from "./SiteView.js";
+import {
+    type SiteOrder,
+    type SitePlacement,
+    type SiteTarget,
+    type SiteView,
+    type UnneededVersion,
+} from "./SiteView.js";
 
-/** A pipeline whose missing stages are at most one in so many goes before others. */
-const urgentPart = 4;
+/** Loads are urgent for a pipeline that lacks at most one in this many of its stages, rounded up. */
+const urgentStageDivisor = 4;
 
-/** Layers that a target is to hold, and why. */
-interface Need extends WantedLayers {
+/** Layers that a target is to hold, and whether loading them is urgent. */
+interface LayerNeed extends WantedLayers {
     readonly urgent: boolean;
 }
 
 /** @internal */
 export interface OrderPlan {
     readonly orders: readonly SiteOrder[];
-    readonly leftovers: readonly Leftover[];
+    readonly unneededVersions: readonly UnneededVersion[];
 }
 
 /**
- * Compares what targets hold with what placements and pins want of them. Only targets with a report under the present
- * fence get orders.
+ * Compares the layers that targets hold with those that placements and pins require, and derives the orders. Only
+ * targets with a report under the current fence get orders.
  *
- * @param kept - The placements that stay.
+ * @param kept - The placements that are kept.
  * @internal
  */
 export function planOrders(view: SiteView, kept: readonly SitePlacement[]): OrderPlan {
     const needs = collectNeeds(view, kept);
-    // What is dropped now stays needed until its removal has been accepted.
+    // The layers of a dropped placement stay needed until its removal has been accepted.
     const allNeeds = collectNeeds(view, view.placements);
     const orders: SiteOrder[] = [];
-    const leftovers: Leftover[] = [];
+    const leftovers: UnneededVersion[] = [];
     for (const target of view.targets.values()) {
         if (target.alive && target.observation !== undefined && target.spec.service === undefined) {
             const wanted = needs.get(target.name) ?? [];
-            const unneeded = findLeftovers(target, allNeeds.get(target.name) ?? []);
+            const unneeded = findUnneededVersions(target, allNeeds.get(target.name) ?? []);
             leftovers.push(...unneeded);
             orders.push(...roleOrder(target, allNeeds.has(target.name)));
             orders.push(...wanted.flatMap(need => needOrders(target, need, unneeded, view)));
         }
     }
-    return { orders, leftovers };
+    return { orders, unneededVersions: leftovers };
 }
 
-function collectNeeds(view: SiteView, kept: readonly SitePlacement[]): Map<string, Need[]> {
-    const needs = new Map<string, Need[]>();
-    const add = (target: string, need: Need) => {
+function collectNeeds(view: SiteView, kept: readonly SitePlacement[]): Map<string, LayerNeed[]> {
+    const needs = new Map<string, LayerNeed[]>();
+    const add = (target: string, need: LayerNeed) => {
         const list = needs.get(target);
         if (list === undefined) {
             needs.set(target, [need]);
@@ -60,8 +66,8 @@
             const target = view.targets.get(stage.target);
             return target === undefined || findHeld(target, stageLayers(placement, stage)) === undefined;
         });
-        // A pipeline that lacks little is being repaired, or nearly done.
-        const urgent = missing.length <= Math.ceil(spec.stages.length / urgentPart);
+        // A pipeline that lacks few stages is under repair or nearly loaded.
+        const urgent = missing.length <= Math.ceil(spec.stages.length / urgentStageDivisor);
         for (const stage of spec.stages) {
             add(stage.target, { ...stageLayers(placement, stage), urgent });
         }
@@ -69,8 +75,8 @@
     return needs;
 }
 
-/** Model versions on a target of which nothing is needed, or only ranges that it does not hold whole. */
-function findLeftovers(target: SiteTarget, needs: readonly Need[]): Leftover[] {
+/** Finds the held model versions of which no layers are needed, or only ranges that the target does not fully hold. */
+function findUnneededVersions(target: SiteTarget, needs: readonly LayerNeed[]): UnneededVersion[] {
     const held = target.observation?.info.held ?? [];
     const versions = new Map(held.map(({ model, version }) => [JSON.stringify([model, version]), { model, version }]));
     return [...versions.values()]
@@ -85,7 +91,7 @@
     const role = isUsed ? "serving" : "idle";
     const current = target.observation?.info.role;
     const inUse = (target.observation?.inUse.length ?? 0) > 0;
-    // The prefill role is set by operators at the engine itself; a target in use keeps its role until it is idle.
+    // Operators set the prefill role on the engine itself. A target in use keeps its role until no request uses it.
     if (current === role || current === "prefill" || (role === "idle" && inUse)) {
         return [];
     }
@@ -94,8 +100,8 @@
 
 function needOrders(
     target: SiteTarget,
-    need: Need,
-    leftovers: readonly Leftover[],
+    need: LayerNeed,
+    leftovers: readonly UnneededVersion[],
     view: SiteView,
 ): SiteOrder[] {
     const held = findHeld(target, need);
@@ -105,18 +111,18 @@
     const { model, version, first, last, urgent } = need;
     const layerBytes = view.models.find(({ name }) => name === model)?.spec.layerBytes ?? 0;
     const bytes = (last - first + 1) * layerBytes;
-    // An engine unloads a version as a whole, so a wrong range must go before the right one comes.
+    // An engine can only unload a whole version, so a wrong range must be unloaded before the right one is loaded.
     if (leftovers.some(other => other.model === model && other.version === version)) {
         return [];
     }
-    // Where nothing is left to go and nothing else loads, the engine itself decides whether there is room.
-    const isQuiet = leftovers.length === 0 && target.settled;
-    const fits = isQuiet || bytes <= (target.observation?.info.freeMemory ?? 0);
+    // If nothing is to be unloaded and no order is in flight, the engine decides whether the memory suffices.
+    const isIdle = leftovers.length === 0 && target.settled;
+    const fits = isIdle || bytes <= (target.observation?.info.freeMemory ?? 0);
     const action = { kind: "load" as const, model, version, first, last, bytes };
     return [{ target: target.name, action, urgent, fits }];
 }
 
-function adapterOrders(target: SiteTarget, need: Need, held: readonly string[], view: SiteView): SiteOrder[] {
+function adapterOrders(target: SiteTarget, need: LayerNeed, held: readonly string[], view: SiteView): SiteOrder[] {
     const { model, version } = need;
     const wanted = view.adapters
         .filter(({ spec }) => spec.model === model && spec.versions.includes(version))
--- a/packages/control/src/lib/rollout/planSite.test.ts
+++ b/packages/control/src/lib/rollout/planSite.test.ts
@@ -55,7 +55,7 @@
     };
 }
 
-test("a pipeline becomes ready only on reports that no order can overtake", () => {
+test("a pipeline becomes ready only on reports of settled targets", () => {
     const states = [true, false].map(settled => {
         const { pipelines, changes } = planSite(view([target("t", { settled })], [placement(0, "t", false)]));
         return [pipelines.get("m.a.0"), changes.map(({ spec }) => spec?.ready)];
@@ -63,18 +63,18 @@
     assert.deepEqual(states, [["switching", [true]], ["loading", []]]);
 });
 
-test("a pipeline that nobody has looked at keeps its ready flag", () => {
+test("a pipeline without reports keeps its ready flag", () => {
     const unseen = target("t", { observation: undefined, settled: false });
     const { pipelines, changes, orders } = planSite(view([unseen], [placement(0, "t", true)]));
     assert.deepEqual([pipelines.get("m.a.0"), changes, orders], ["serving", [], []]);
 });
 
-test("a target that is missing for a moment is neither replaced nor counted on", () => {
+test("a target that is briefly missing is neither replaced nor counted as capacity", () => {
     const missing = target("t", { present: false });
     const both = [placement(0, "t", true), placement(1, "u", true)];
     const waiting = planSite(view([missing, target("u")], both, 2));
     assert.deepEqual([waiting.changes, [...waiting.pipelines.values()]], [[], ["serving", "serving"]]);
-    // One of two is too many. It is the one that cannot be counted on, though the last would go otherwise.
+    // One of two pipelines is surplus. The one on the missing target is removed; otherwise the last one would be.
     const dropped = [missing, target("t")].map(found => {
         const { changes } = planSite(view([found, target("u")], both, 1));
         return changes.map(({ name, spec }) => [name, spec]);
@@ -82,7 +82,7 @@
     assert.deepEqual(dropped, [[["m.a.0", undefined]], [["m.a.1", undefined]]]);
 });
 
-test("a plan repeated on its own result changes nothing more", () => {
+test("planning again on the result of a plan changes nothing", () => {
     const first = planSite(view([target("t"), target("u")], [], 2));
     const made = first.changes.map(({ name, spec }) => ({ name, spec: spec!, resourceVersion: 1 }));
     assert.equal(made.length, 2);
@@ -90,6 +90,6 @@
     const serving = ready.changes.map(({ name, spec }) => ({ name, spec: spec!, resourceVersion: 2 }));
     assert.ok(serving.every(({ spec }) => spec.ready));
     const last = planSite(view([target("t"), target("u")], serving, 2));
-    assert.deepEqual([last.changes, last.orders, last.leftovers], [[], [], []]);
+    assert.deepEqual([last.changes, last.orders, last.unneededVersions], [[], [], []]);
     assert.equal(last.rollouts.get("m"), "steady");
 });
--- a/packages/control/src/lib/rollout/planSite.ts
+++ b/packages/control/src/lib/rollout/planSite.ts
@@ -17,11 +17,11 @@
  * @public
  */
 export interface PlanOptions {
-    /** The share of the wanted pipelines that keeps serving through every planned step, from 0 to 1. */
+    /** The share of the wanted pipelines, from 0 to 1, that keeps serving during every planned step. */
     readonly capacityShare?: number;
-    /** How many pipelines of one model may load at the same time in one data centre. */
+    /** Maximum number of pipelines of one model that load at the same time in one data centre. */
     readonly parallelPipelines?: number;
-    /** The share of the targets that is kept free to replace failed ones. */
+    /** The share of the targets, from 0 to 1, that is kept free to replace failed ones. */
     readonly spareShare?: number;
 }
 
@@ -30,7 +30,7 @@
     readonly dropped: boolean;
     readonly damaged: boolean;
     readonly replacement: readonly PipelineStage[] | undefined;
-    /** True if its targets do more good elsewhere than waiting for the lost one. */
+    /** Returns true if its targets are better used elsewhere than kept until the lost one returns. */
     readonly dissolvable: () => boolean;
     readonly view: SiteView;
 }
@@ -54,15 +54,15 @@
     surplus: ({ surplus }) => surplus.length > 0,
     complete: ({ plan }) => plan.isComplete,
     loadingEnough: ({ plan }) => plan.isLoadingEnough,
-    fitsBeside: ({ plan }) => plan.findBeside() !== undefined,
-    fitsFree: ({ plan }) => plan.findFree().length > 0,
+    fitsBeside: ({ plan }) => plan.findColocatedStages() !== undefined,
+    fitsFree: ({ plan }) => plan.findFreePipelines().length > 0,
     staleLoading: ({ plan }) => plan.findStaleLoading().length > 0,
-    mayYield: ({ plan }) => plan.findYield() !== undefined,
+    mayYield: ({ plan }) => plan.findYieldCandidate() !== undefined,
 });
 
 /**
- * Decides the next step towards the wanted placements of one data centre. A pure function of the view: it can be
- * repeated at any time, by any process, and each step leaves a state from which the next one follows.
+ * Plans the next step towards the wanted placements of one data centre. This is a pure function of the view: any
+ * process can repeat it at any time, and each step leaves a state from which the next one can be planned.
  *
  * @public
  */
@@ -72,8 +72,8 @@
 
 const defaults = { capacityShare: 0.9, parallelPipelines: 4, spareShare: 0.03 };
 
-/** Above this share of lost targets no pipeline is taken apart. */
-const widespreadShare = 0.25;
+/** The share of lost targets, from 0 to 1, above which no damaged pipeline is dissolved. */
+const widespreadLossShare = 0.25;
 
 class SitePlanner {
     private readonly options: Required<PlanOptions>;
@@ -83,7 +83,7 @@
     private readonly pipelines = new Map<string, string>();
     private readonly rollouts = new Map<string, string>();
     private readonly names: Set<string>;
-    /** Model versions of which a damaged pipeline waits for its target to come back. */
+    /** Model versions with a damaged pipeline that waits for its lost target to return. */
     private readonly waiting = new Set<string>();
 
     constructor(private readonly view: SiteView, options: PlanOptions) {
@@ -94,18 +94,18 @@
 
     plan(): SitePlan {
         const models = new Map(this.view.models.map(model => [model.name, model]));
-        const stray = this.view.placements.filter(({ spec }) => !models.has(spec.model));
-        stray.forEach(placement => this.dropped.add(placement));
+        const orphaned = this.view.placements.filter(({ spec }) => !models.has(spec.model));
+        orphaned.forEach(placement => this.dropped.add(placement));
         const plans = this.view.models.map(model => this.prepare(model));
         this.view.placements.forEach(placement => this.assess(placement, models.get(placement.spec.model)));
         plans.forEach(facts => this.advance(facts));
         const kept = this.view.placements.filter(placement => !this.dropped.has(placement));
-        const { orders, leftovers } = planOrders(this.view, kept);
+        const { orders, unneededVersions: leftovers } = planOrders(this.view, kept);
         const { changes, pipelines, rollouts } = this;
-        return { changes, orders, leftovers, pipelines, rollouts };
+        return { changes, orders, unneededVersions: leftovers, pipelines, rollouts };
     }
 
-    /** Sorts the placements of a model into those that must go, those that may go and those that stay. */
+    /** Drops the invalid and surplus placements of a model and creates its plan. */
     private prepare(model: SiteModel): RolloutFacts {
         const own = this.view.placements.filter(({ spec }) => spec.model === model.name);
         const invalid = own.filter(placement => this.isInvalid(placement, model));
@@ -133,7 +133,7 @@
         return { ...this.options, pipelineSize: Math.max(1, share / Math.max(1, model.wanted)) };
     }
 
-    /** Follows the chart of one pipeline and notes what it asks for. */
+    /** Evaluates the state chart of one pipeline and performs its actions. */
     private assess(placement: SitePlacement, model: SiteModel | undefined): void {
         const dropped = this.dropped.has(placement);
         const damaged = isDamaged(placement, this.view);
@@ -143,7 +143,7 @@
         const { state, actions } = assessPipeline(facts);
         this.pipelines.set(placement.name, state);
         for (const action of actions) {
-            this.act(action, placement, replacement);
+            this.applyPipelineAction(action, placement, replacement);
         }
     }
 
@@ -154,11 +154,12 @@
     }
 
     /**
-     * The targets that are left of a pipeline can stand in for those that another one has lost, or hold the model
-     * without the lost one. Otherwise the pipeline keeps its layers and waits for the target to come back.
+     * Checks whether a damaged pipeline may be dissolved, because its remaining targets can repair another damaged
+     * pipeline of the same model version, or can hold the model without the lost target. Otherwise the pipeline keeps
+     * its layers and waits for the lost target to return.
      */
     private isDissolvable(placement: SitePlacement, model: SiteModel): boolean {
-        if (this.isWidespread()) {
+        if (this.isWidespreadLoss()) {
             return false;
         }
         const key = `${placement.spec.model}@${placement.spec.version}`;
@@ -174,13 +175,20 @@
         return whole.length > 0;
     }
 
-    /** Many targets lost at once have probably been cut off, and will come back with what they hold. */
-    private isWidespread(): boolean {
+    /**
+     * Checks whether many targets are lost at once. They have probably been cut off by a network failure and will
+     * return with the layers that they hold.
+     */
+    private isWidespreadLoss(): boolean {
         const lost = [...this.view.targets.values()].filter(({ alive }) => !alive).length;
-        return lost > 1 && lost > this.view.targets.size * widespreadShare;
+        return lost > 1 && lost > this.view.targets.size * widespreadLossShare;
     }
 
-    private act(action: string, placement: SitePlacement, replacement: readonly PipelineStage[] | undefined): void {
+    private applyPipelineAction(
+        action: string,
+        placement: SitePlacement,
+        replacement: readonly PipelineStage[] | undefined,
+    ): void {
         const { spec } = placement;
         switch (action) {
             case "markReady":
@@ -193,7 +201,7 @@
                 this.dropped.add(placement);
                 return this.change(placement, undefined);
             default:
-                throw new Error(`the chart of pipelines asks for ${action}`);
+                throw new Error(`unknown action ${action} in the pipeline state chart`);
         }
     }
 
@@ -201,41 +209,41 @@
         const model = this.view.models.find(({ name }) => name === placement.spec.model);
         const kept = new Set(placement.spec.stages.map(({ target }) => target));
         if (model !== undefined) {
-            this.fleet.take(stages.filter(({ target }) => !kept.has(target)), placementModel(model));
+            this.fleet.allocate(stages.filter(({ target }) => !kept.has(target)), placementModel(model));
         }
         this.change(placement, { ...placement.spec, stages: [...stages], ready: false });
     }
 
-    /** Follows the chart of one model's rollout and does what it asks for. */
+    /** Evaluates the rollout state chart of one model and performs its actions. */
     private advance(facts: RolloutFacts): void {
         const { plan } = facts;
         const { state, actions } = assessRollout(facts);
         this.rollouts.set(plan.model.name, state);
         for (const action of actions) {
-            this.actOnModel(action, plan);
+            this.applyRolloutAction(action, plan);
         }
     }
 
-    private actOnModel(action: string, plan: ModelPlan): void {
+    private applyRolloutAction(action: string, plan: ModelPlan): void {
         const { name, spec } = plan.model;
         const place = (stages: readonly PipelineStage[]) => {
-            this.fleet.take(stages, placementModel(plan.model));
+            this.fleet.allocate(stages, placementModel(plan.model));
             this.create(name, spec.current, stages);
         };
         switch (action) {
             case "retire":
-                // The surplus has been dropped before the pipelines were assessed.
+                // The surplus was dropped before the pipelines were assessed.
                 return;
             case "placeBeside":
-                return [plan.findBeside()].forEach(stages => stages && place(stages));
+                return [plan.findColocatedStages()].forEach(stages => stages && place(stages));
             case "placeFree":
-                return plan.findFree().forEach(place);
+                return plan.findFreePipelines().forEach(place);
             case "dropStaleLoading":
                 return plan.findStaleLoading().forEach(placement => this.remove(placement));
             case "yieldOne":
-                return [plan.findYield()].forEach(placement => placement && this.remove(placement));
+                return [plan.findYieldCandidate()].forEach(placement => placement && this.remove(placement));
             default:
-                throw new Error(`the chart of rollouts asks for ${action}`);
+                throw new Error(`unknown action ${action} in the rollout state chart`);
         }
     }
 
@@ -244,7 +252,7 @@
         this.change(placement, undefined);
     }
 
-    /** Notes a change; a later one of the same placement replaces an earlier one. */
+    /** Records a change. A later change of the same placement replaces an earlier one. */
     private change({ name, resourceVersion }: SitePlacement, spec: PlacementSpec | undefined): void {
         const earlier = this.changes.findIndex(change => change.name === name);
         if (earlier >= 0) {
--- a/packages/control/src/lib/rollout/readChart.ts
+++ b/packages/control/src/lib/rollout/readChart.ts
@@ -18,7 +18,7 @@
 type Chart = z.infer<typeof chartSchema>;
 
 /**
- * The state that a chart assigns to some facts, and the actions on entering it.
+ * The state that a chart reaches for the given facts, and the entry actions of that state.
  *
  * @internal
  */
@@ -28,12 +28,12 @@
 }
 
 /**
- * Reads a state chart that lies beside this module. The chart is followed anew from the facts each time, never from a
- * remembered state, so that the next holder of a duty carries on from wherever the last one stopped.
+ * Reads a state chart from the directory of this module. Every evaluation starts from the initial state and not from a
+ * stored state, so that the next holder of a duty can continue wherever the previous one stopped.
  *
- * @param name - The file's name without its ending.
- * @param guards - Decides each guard that the chart names.
- * @returns Follows the chart from its initial state until no transition is left.
+ * @param name - The file name without its extension.
+ * @param guards - The implementation of each guard in the chart.
+ * @returns A function that follows the chart from its initial state until no transition applies.
  * @internal
  */
 export function readChart<Facts>(
@@ -65,13 +65,15 @@
     };
 }
 
-/** A guard or a state that is missing is a fault of the program, and must not wait until its branch is taken. */
+/**
+ * Checks at load time that every guard and state exists; otherwise the bug would show only once its branch is taken.
+ */
 function assertComplete({ id, states }: Chart, guards: readonly string[]): void {
     const transitions = Object.values(states).flatMap(({ always }) => always ?? []);
     for (const { guard, target } of transitions) {
-        assert(guard === undefined || guards.includes(guard), `chart ${id} asks an unknown guard ${guard}`);
+        assert(guard === undefined || guards.includes(guard), `chart ${id} uses unknown guard ${guard}`);
         assert(target in states, `chart ${id} has no state ${target}`);
     }
     const asked = new Set(transitions.map(({ guard }) => guard));
-    guards.forEach(guard => assert(asked.has(guard), `chart ${id} never asks guard ${guard}`));
+    guards.forEach(guard => assert(asked.has(guard), `chart ${id} does not use guard ${guard}`));
 }
--- a/packages/control/src/lib/rollout/rollout.test.ts
+++ b/packages/control/src/lib/rollout/rollout.test.ts
@@ -58,7 +58,7 @@
     action();
 }
 
-/** Ends every fault and lets the site settle. */
+/** Ends every fault and runs the site until it has settled. */
 async function settle(site: SiteWorld): Promise<void> {
     site.store.up = true;
     site.store.faults.length = 0;
@@ -80,7 +80,7 @@
     assert.deepEqual(violations.filter(({ rule }) => rule === "orders"), []);
 }
 
-/** Every target holds what the placements want of it, and no version that they do not want. */
+/** Checks that every target holds the layers of its placements, and no other model version. */
 async function assertTidy(site: SiteWorld): Promise<void> {
     for (const [name, target] of site.targets) {
         const wanted = site.all.flatMap(({ spec }) =>
--- a/packages/control/src/lib/rollout/siteModels.ts
+++ b/packages/control/src/lib/rollout/siteModels.ts
@@ -4,8 +4,8 @@
 import { type SiteModel } from "./SiteView.js";
 
 /**
- * Works out how many pipelines of each model a data centre is to hold. Pipelines that operators have pinned count
- * towards a model's replicas, wherever they are.
+ * Computes how many pipelines of each model a data centre is to hold. Pipelines that operators have pinned count
+ * towards the replicas of a model in every data centre.
  *
  * @internal
  */
--- a/packages/control/src/lib/testing/LaggedConfiguration.ts
+++ b/packages/control/src/lib/testing/LaggedConfiguration.ts
@@ -1,14 +1,14 @@
 import { type Configuration, type Kind, type Resource, StaticConfiguration } from "@waxwingspar/config";
 import { type Clock } from "@waxwingspar/utils";
 
-/** What was accepted at some time. @internal */
+/** The resources that were accepted at some time. @internal */
 export interface PastRevision {
     readonly at: number;
     readonly revision: number;
     readonly resources: readonly Resource[];
 }
 
-/** The configuration as a process sees it that is some milliseconds behind. It never moves back. @internal */
+/** The configuration of a process that lags by some milliseconds. Its revision never decreases. @internal */
 export class LaggedConfiguration implements Configuration {
     private readonly current = new StaticConfiguration();
     private applied = 0;
--- a/packages/control/src/lib/testing/ScriptedStore.ts
+++ b/packages/control/src/lib/testing/ScriptedStore.ts
@@ -2,22 +2,22 @@
 import { failure, type Outcome, platformCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 
-/** What happens to the next commit: when it takes effect, and when the caller hears of it. @internal */
+/** A fault of a commit: when it takes effect, and when the caller gets the response. @internal */
 export interface CommitFault {
     readonly effect: "now" | "late" | "never";
     readonly answer: "now" | "held" | "lost";
 }
 
 /**
- * A table in memory whose commits meet the faults that a test sets, so that every interleaving can be reached.
+ * An in-memory table store with scripted commit faults, so that a test can reach every interleaving.
  *
  * @internal
  */
 export class ScriptedStore implements TableStore {
     readonly era = 0;
-    /** False while the store is down: every call is refused without effect. */
+    /** False while the store is down: every call fails without effect. */
     up = true;
-    /** Faults of the next commits; commits beyond them succeed at once. */
+    /** Faults of the next commits, in order. Further commits succeed at once. */
     readonly faults: CommitFault[] = [];
     reads = 0;
     writes = 0;
@@ -58,17 +58,17 @@
         return Promise.resolve(this.up ? Result.ok(this.commits.get(writeId)) : this.refusal());
     }
 
-    /** Makes reads answer from the rows of this moment, or from the true ones again. */
+    /** Makes reads return the rows as they are now, or the current rows again. */
     setStale(stale: boolean): void {
         this.staleRows = stale ? new Map(this.rows) : undefined;
     }
 
-    /** Lets every late commit take effect, if its conditions still hold. */
+    /** Applies every late commit whose conditions still hold. */
     applyLate(): void {
         this.late.splice(0).forEach(apply => apply());
     }
 
-    /** Delivers every answer that was held back. */
+    /** Delivers every held response. */
     deliver(): void {
         this.heldAnswers.splice(0).forEach(deliver => deliver());
     }
@@ -97,7 +97,7 @@
         return Result.ok(versions);
     }
 
-    /** The true row, at any time. */
+    /** Returns the current row, even while reads are stale or the store is down. */
     row(key: string): Row {
         return this.rows.get(key) ?? { key, value: undefined, version: 0 };
     }
--- a/packages/control/src/lib/testing/SiteWorld.ts
+++ b/packages/control/src/lib/testing/SiteWorld.ts
@@ -17,7 +17,7 @@
 import { type RowCondition, SiteDuty } from "../rollout/SiteDuty.js";
 import { type PlacementChange } from "../rollout/SiteView.js";
 import { LaggedConfiguration, type PastRevision } from "./LaggedConfiguration.js";
-import { type Awake, pausableClock, pausableStore } from "./pausable.js";
+import { pausableClock, pausableStore, type WhenResumed } from "./pausable.js";
 import { ScriptedStore } from "./ScriptedStore.js";
 import { TestTarget } from "./TestTarget.js";
 
@@ -29,14 +29,14 @@
     readonly seed?: number;
     readonly loadRate?: number;
     readonly plan?: PlanOptions;
-    /** True if no change of a placement is lost or refused. */
+    /** True if writes of placements get no random faults. */
     readonly faultless?: boolean;
 }
 
-/** A late message arrives long after its sender has given up. @internal */
+/** A fault of a message. A late message arrives long after its sender has stopped waiting. @internal */
 export type MessageFault = "lostBefore" | "lostAfter" | "late";
 
-/** A process that may hold the duty. While it is paused it does nothing and hears nothing. */
+/** A process that may hold the duty. While it is paused it runs nothing and receives nothing. */
 interface Holder {
     readonly member: DutyMember;
     readonly runner: DutyRunner;
@@ -47,10 +47,12 @@
 
 /** @internal */
 export const dataCentre = "a";
+/** Upper bound, in milliseconds, of the configuration lag of a process. */
 const lagLimit = 3000;
 
 /**
- * One data centre on virtual time: engines, agents, a store, operators, and three processes that may hold the duty.
+ * Simulates one data centre on virtual time: engines, agents, a store, operators, and three processes that may hold the
+ * duty.
  *
  * @internal
  */
@@ -61,21 +63,21 @@
     readonly holders: Holder[] = [];
     readonly lines: HistoryLine[] = [];
     readonly violations: string[] = [];
-    /** What the next messages to targets meet. */
+    /** Faults of the next messages to targets, in order. */
     readonly messageFaults: MessageFault[] = [];
-    /** What the next orders meet. */
+    /** Faults of the next orders, in order. */
     readonly orderFaults: MessageFault[] = [];
-    /** What the next changes of placements meet; those beyond meet random faults. */
+    /** Faults of the next placement changes, in order. Further changes get random faults. */
     readonly changeFaults: MessageFault[] = [];
     readonly random: Random;
     model: ModelSpec;
-    /** Names of the adapters of both versions. */
+    /** Names of the adapters, which exist for both versions. */
     adapters: string[] = [];
-    /** True while every change of a placement is refused. */
+    /** True while every placement change is refused. */
     refusesWrites = false;
     revision = 1;
-    /** The lowest capacity seen since it was whole for the first time. */
-    lowest = Infinity;
+    /** The lowest capacity since all replicas were ready for the first time. */
+    lowestCapacity = Infinity;
     private readonly placements = new Map<string, Resource<"placement">>();
     private readonly history: PastRevision[] = [];
     private resumes: (() => void)[] = [];
@@ -110,12 +112,12 @@
         return [...this.placements.values()];
     }
 
-    /** The process that believes it holds the duty. */
+    /** The first process that considers itself the holder of the duty. */
     get holder(): Holder | undefined {
         return this.holders.find(({ runner }) => runner.held().length > 0);
     }
 
-    /** An operator's change. */
+    /** Changes the model as an operator would. */
     setModel(change: Partial<ModelSpec>): void {
         this.model = { ...this.model, ...change };
         this.revision++;
@@ -128,7 +130,7 @@
         this.publish();
     }
 
-    /** Tells whether the targets of every ready pipeline hold its layers. */
+    /** Checks whether the targets of every ready pipeline hold its layers. */
     async isWholeSite(): Promise<boolean> {
         const whole = await Promise.all(this.ready.map(({ spec }) => this.isWhole(spec)));
         return whole.every(found => found);
@@ -153,12 +155,12 @@
 
     private noteCapacity(): void {
         const capacity = this.capacity();
-        if (capacity >= this.model.replicas || this.lowest < Infinity) {
-            this.lowest = Math.min(this.lowest, capacity);
+        if (capacity >= this.model.replicas || this.lowestCapacity < Infinity) {
+            this.lowestCapacity = Math.min(this.lowestCapacity, capacity);
         }
     }
 
-    /** Pipelines that can serve at the same time, as far as anyone can know by now. */
+    /** Counts the pipelines that can serve at the same time. A lost target counts until its loss can be detected. */
     capacity(): number {
         const used = new Set<string>();
         return this.ready.filter(({ spec }) => {
@@ -211,7 +213,7 @@
 
     private createHolder(member: DutyMember): Holder {
         const state = { paused: false, lag: this.random.below(lagLimit) };
-        const awake = async <T>(outcome: Promise<T>): Promise<T> => {
+        const whenResumed = async <T>(outcome: Promise<T>): Promise<T> => {
             const answer = await outcome;
             while (state.paused) {
                 await new Promise<void>(resolve => this.resumes.push(resolve));
@@ -219,23 +221,23 @@
             return answer;
         };
         const { clock, random } = this;
-        const awakeStore = pausableStore(this.store, awake);
-        const awakeClock = pausableClock(clock, awake);
+        const holderStore = pausableStore(this.store, whenResumed);
+        const holderClock = pausableClock(clock, whenResumed);
         const duty = new SiteDuty({
             dataCentre,
-            clock: awakeClock,
-            store: awakeStore,
+            clock: holderClock,
+            store: holderStore,
             configuration: new LaggedConfiguration(clock, this.history, () => state.lag),
-            targets: this.port(awake),
+            targets: this.port(whenResumed),
             incarnationOf: target => this.membership(target),
-            readRevision: () => awake(Promise.resolve(this.unlessDown(this.revision))),
-            writePlacement: (change, guard) => awake(Promise.resolve(this.receiveChange(change, guard))),
+            readRevision: () => whenResumed(Promise.resolve(this.unlessDown(this.revision))),
+            writePlacement: (change, guard) => whenResumed(Promise.resolve(this.receiveChange(change, guard))),
             record: event => this.record(member.process, member.process, event),
             plan: this.options.plan,
         });
         const runner = new DutyRunner({
-            store: awakeStore,
-            clock: awakeClock,
+            store: holderStore,
+            clock: holderClock,
             random,
             process: member.process,
             incarnation: "1",
@@ -246,7 +248,7 @@
         return Object.assign(state, { member, runner, duty });
     }
 
-    private port(awake: Awake): TargetPort {
+    private port(awake: WhenResumed): TargetPort {
         const send = async <T>(deliver: () => Promise<Outcome<T>>, given?: MessageFault): Promise<Outcome<T>> => {
             const fault = given ?? this.messageFaults.shift();
             const lost = Result.err(failure(transportCodes.connectionLost, "lost"));
@@ -267,18 +269,18 @@
         };
     }
 
-    /** Membership learns of a loss or a return after a second. */
+    /** Returns the incarnation that membership reports. It learns of a loss or a return after one second. */
     private membership(target: string): string | undefined {
         const found = this.targets.get(target)!;
-        const isNews = this.clock.now() - found.changedAt < 1000;
-        return found.alive !== isNews ? found.incarnation : undefined;
+        const isUnnoticed = this.clock.now() - found.changedAt < 1000;
+        return found.alive !== isUnnoticed ? found.incarnation : undefined;
     }
 
     private unlessDown<T>(value: T): Outcome<T> {
         return this.store.up ? Result.ok(value) : Result.err(failure(platformCodes.storeUnavailable, "down"));
     }
 
-    /** Some changes are refused, some take effect without an answer, and some only after a while. */
+    /** Handles a placement change. Faults make it fail, take effect without a response, or take effect late. */
     private receiveChange(change: PlacementChange, guard: RowCondition): Outcome<number> {
         if (!this.store.up || this.refusesWrites) {
             return Result.err(failure(platformCodes.storeUnavailable, "down"));
@@ -334,7 +336,7 @@
         }
     }
 
-    /** Tells whether nothing has happened to a pipeline lately, and its targets hold its layers. */
+    /** Checks whether the targets of a pipeline have been up for more than 10 s and hold its layers. */
     private async isWhole(spec: PlacementSpec): Promise<boolean> {
         const checks = await Promise.all(spec.stages.map(async stage => {
             const target = this.targets.get(stage.target)!;
@@ -353,7 +355,7 @@
         }
     }
 
-    /** Entries, up to the lag behind, start requests on ready pipelines. */
+    /** Starts requests on a ready pipeline, as entries do whose configuration lags by up to the lag limit. */
     private async startStreams(): Promise<void> {
         const at = this.clock.now() - this.random.below(lagLimit);
         const known = this.history.findLast(entry => entry.at <= at) ?? this.history[0]!;
--- a/packages/control/src/lib/testing/TestTarget.ts
+++ b/packages/control/src/lib/testing/TestTarget.ts
@@ -15,16 +15,16 @@
 }
 
 /**
- * A target: an engine that ignores fences, and the agent beside it with its gate. Both can die and come back.
+ * A simulated target: an engine that does not check fences, and its agent, which does. Both can fail and restart.
  *
  * @internal
  */
 export class TestTarget {
     alive = true;
-    /** When the target was last lost or came back. */
+    /** The monotonic time of the last loss or restart. */
     changedAt = -Infinity;
     starts = 1;
-    /** Unloads that hit a version in use, which must never happen. */
+    /** Number of unloads of a version in use, which must stay 0. */
     interrupted = 0;
     failsLoads = false;
     engine: FakeEngine;
@@ -40,7 +40,7 @@
         return `${this.options.name}-${this.starts}`;
     }
 
-    /** Loses the agent and its memory; the engine too, unless it is kept. */
+    /** Restarts the agent without its state, and the engine as well unless it is kept. */
     restart(keepsEngine: boolean): void {
         this.starts++;
         this.alive = true;
--- a/packages/control/src/lib/testing/pausable.ts
+++ b/packages/control/src/lib/testing/pausable.ts
@@ -1,24 +1,24 @@
 import { type TableStore } from "@waxwingspar/stores";
 import { type Clock } from "@waxwingspar/utils";
 
-/** Holds an answer back while the process that waits for it is paused. @internal */
-export type Awake = <T>(outcome: Promise<T>) => Promise<T>;
+/** Delays the result of a promise until the process that awaits it is not paused. @internal */
+export type WhenResumed = <T>(outcome: Promise<T>) => Promise<T>;
 
-/** A store whose answers reach a paused process only when it goes on. @internal */
-export function pausableStore(store: TableStore, awake: Awake): TableStore {
+/** Wraps a store so that its responses reach a paused process only after it resumes. @internal */
+export function pausableStore(store: TableStore, whenResumed: WhenResumed): TableStore {
     return {
         get era() {
             return store.era;
         },
-        get: key => awake(store.get(key)),
-        scan: (prefix, after, limit) => awake(store.scan(prefix, after, limit)),
-        commit: transaction => awake(store.commit(transaction)),
-        findCommit: writeId => awake(store.findCommit(writeId)),
+        get: key => whenResumed(store.get(key)),
+        scan: (prefix, after, limit) => whenResumed(store.scan(prefix, after, limit)),
+        commit: transaction => whenResumed(store.commit(transaction)),
+        findCommit: writeId => whenResumed(store.findCommit(writeId)),
     };
 }
 
-/** A clock that goes on during a pause, while the timers of the paused process fire only after it. @internal */
-export function pausableClock(clock: Clock, awake: Awake): Clock {
+/** Wraps a clock that keeps running during a pause, while the timers of the process fire only after it. @internal */
+export function pausableClock(clock: Clock, awake: WhenResumed): Clock {
     return {
         now: () => clock.now(),
         date: () => clock.date(),
