--- a/packages/cli/src/lib/nodes/ControlPart.ts
+++ b/packages/cli/src/lib/nodes/ControlPart.ts
@@ -1,5 +1,5 @@
 import { type Member } from "@waxwingspar/config";
-import { DutyRunner, LinkTargets, PlacementStore, SiteDuty } from "@waxwingspar/control";
+import { DutyRunner, LinkTargetPort, PlacementStore, SiteDuty } from "@waxwingspar/control";
 import { type TableStore } from "@waxwingspar/stores";
 import { type LinkPool } from "@waxwingspar/transport";
 import { type ConfigurationPart } from "./ConfigurationPart.js";
@@ -75,7 +75,7 @@
         configuration,
         store,
         record,
-        targets: new LinkTargets({ pool, addressOf: target => configuration.get("target", target)?.spec }),
+        targets: new LinkTargetPort({ pool, addressOf: target => configuration.get("target", target)?.spec }),
         incarnationOf: liveIncarnations(part),
         drainDelay: times?.drainDelay,
         observeInterval: times?.observeInterval,
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -7,7 +7,12 @@
 export { Lease, type LeaseOptions } from "./lib/leases/Lease.js";
 export { fenceKey, leaseKey, type LeaseValue, leaseValueSchema, ordersDuty, readFence } from "./lib/leases/leaseRow.js";
 export { createObserveMethod, type ObserveMethodOptions } from "./lib/orders/createObserveMethod.js";
-export { LinkTargets, type LinkTargetsOptions, observeMethodName, orderMethodName } from "./lib/orders/LinkTargets.js";
+export {
+    LinkTargetPort,
+    type LinkTargetPortOptions,
+    observeMethodName,
+    orderMethodName,
+} from "./lib/orders/LinkTargetPort.js";
 export { LoadPermits, type LoadPermitsOptions, type WantedLoad } from "./lib/orders/LoadPermits.js";
 export { OrderSender, type OrderSenderOptions, type WantedOrder } from "./lib/orders/OrderSender.js";
 export { type Observation, type TargetPort, type TargetReport, targetReportSchema } from "./lib/orders/TargetPort.js";
--- a/packages/control/src/lib/orders/LinkTargets.test.ts
+++ b/packages/control/src/lib/orders/LinkTargetPort.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { Result } from "true-myth";
 import { createObserveMethod } from "./createObserveMethod.js";
-import { LinkTargets, observeMethodName, orderMethodName } from "./LinkTargets.js";
+import { LinkTargetPort, observeMethodName, orderMethodName } from "./LinkTargetPort.js";
 
 const credentials = { insecure: true } as const;
 
@@ -37,7 +37,7 @@
     const engine = new FakeEngine({ clock: new ManualClock(), memory: 10 });
     const { server, address } = await startAgent("t-1", engine, seen);
     const pool = new TcpLinkPool({ hello: hello("p", "p-1"), credentials });
-    const targets = new LinkTargets({ pool, addressOf: target => target === "t" ? address : undefined });
+    const targets = new LinkTargetPort({ pool, addressOf: target => target === "t" ? address : undefined });
     const report = (await targets.observe("t", 3)).unwrapOrElse(reason => assert.fail(reason.message));
     assert.equal(report.incarnation, "t-1");
     assert.deepEqual(report.inUse, [{ model: "m", version: "v" }]);
--- a/packages/control/src/lib/orders/LinkTargets.ts
+++ b/packages/control/src/lib/orders/LinkTargetPort.ts
@@ -12,11 +12,11 @@
 export const observeMethodName = "target.observe";
 
 /**
- * Options of {@link LinkTargets}.
+ * Options of {@link LinkTargetPort}.
  *
  * @public
  */
-export interface LinkTargetsOptions {
+export interface LinkTargetPortOptions {
     readonly pool: LinkPool;
     /** Returns the address of a target's agent, or undefined for a target that is not declared. */
     readonly addressOf: (target: string) => Address | undefined;
@@ -31,10 +31,10 @@
  *
  * @public
  */
-export class LinkTargets implements TargetPort {
-    private readonly options: Required<LinkTargetsOptions>;
+export class LinkTargetPort implements TargetPort {
+    private readonly options: Required<LinkTargetPortOptions>;
 
-    constructor(options: LinkTargetsOptions) {
+    constructor(options: LinkTargetPortOptions) {
         this.options = withDefaults({ observeTimeout: 2_000, orderTimeout: 30_000 }, options);
     }
 
--- a/packages/control/src/lib/orders/orders.test.ts
+++ b/packages/control/src/lib/orders/orders.test.ts
@@ -6,7 +6,7 @@
 import { Lease } from "../leases/Lease.js";
 import { ScriptedStore } from "../testing/ScriptedStore.js";
 import { createObserveMethod } from "./createObserveMethod.js";
-import { LinkTargets } from "./LinkTargets.js";
+import { LinkTargetPort } from "./LinkTargetPort.js";
 import { LoadPermits } from "./LoadPermits.js";
 import { OrderSender } from "./OrderSender.js";
 
@@ -113,7 +113,7 @@
     let requests = 0;
     const link = { peer: { incarnation: "t-2" }, request: async () => Result.ok(requests++) };
     const pool = { connect: async () => Result.ok(link) };
-    const targets = new LinkTargets({ pool: pool as never, addressOf: () => ({ host: "127.0.0.1", port: 1 }) });
+    const targets = new LinkTargetPort({ pool: pool as never, addressOf: () => ({ host: "127.0.0.1", port: 1 }) });
     const outcome = await targets.order("t", "t-1", { id: "1", fence: 1, action });
     assert.equal(outcome.isErr && outcome.error.code, transportCodes.notConnected);
     assert.equal((await targets.order("t", "t-2", { id: "1", fence: 1, action })).isOk, true);
