--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Leased control duties: placement, rollout, weight loads.
+ * Control tasks that run under a lease: placement, rollout and the loading of weights.
  *
  * @packageDocumentation
  */
@@ -7,7 +7,12 @@
 export { Lease, type LeaseOptions } from "./lib/leases/Lease.js";
 export { fenceKey, leaseKey, type LeaseValue, leaseValueSchema, ordersDuty, readFence } from "./lib/leases/leaseRow.js";
 export { createObserveMethod, type ObserveMethodOptions } from "./lib/orders/createObserveMethod.js";
-export { LinkTargets, type LinkTargetsOptions, observeMethodName, orderMethodName } from "./lib/orders/LinkTargets.js";
+export {
+    LinkTargetPort,
+    type LinkTargetPortOptions,
+    observeMethodName,
+    orderMethodName,
+} from "./lib/orders/LinkTargetPort.js";
 export { LoadPermits, type LoadPermitsOptions, type WantedLoad } from "./lib/orders/LoadPermits.js";
 export { OrderSender, type OrderSenderOptions, type WantedOrder } from "./lib/orders/OrderSender.js";
 export { type Observation, type TargetPort, type TargetReport, targetReportSchema } from "./lib/orders/TargetPort.js";
@@ -24,7 +29,6 @@
 export { type PlanOptions, planSite } from "./lib/rollout/planSite.js";
 export { type RowCondition, SiteDuty, type SiteDutyOptions, type SiteStatus } from "./lib/rollout/SiteDuty.js";
 export {
-    type Leftover,
     type PlacementChange,
     type SiteAdapter,
     type SiteModel,
@@ -33,4 +37,5 @@
     type SitePlan,
     type SiteTarget,
     type SiteView,
+    type UnneededVersion,
 } from "./lib/rollout/SiteView.js";
--- a/packages/control/src/lib/orders/LinkTargets.test.ts
+++ b/packages/control/src/lib/orders/LinkTargetPort.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { Result } from "true-myth";
 import { createObserveMethod } from "./createObserveMethod.js";
-import { LinkTargets, observeMethodName, orderMethodName } from "./LinkTargets.js";
+import { LinkTargetPort, observeMethodName, orderMethodName } from "./LinkTargetPort.js";
 
 const credentials = { insecure: true } as const;
 
@@ -32,12 +32,12 @@
     return { server, address };
 }
 
-test("reports and orders travel over TCP, and orders only to the start that was meant", async () => {
+test("reports and orders are sent over TCP, and an order only to the incarnation it names", async () => {
     const seen: Order[] = [];
     const engine = new FakeEngine({ clock: new ManualClock(), memory: 10 });
     const { server, address } = await startAgent("t-1", engine, seen);
     const pool = new TcpLinkPool({ hello: hello("p", "p-1"), credentials });
-    const targets = new LinkTargets({ pool, addressOf: target => target === "t" ? address : undefined });
+    const targets = new LinkTargetPort({ pool, addressOf: target => target === "t" ? address : undefined });
     const report = (await targets.observe("t", 3)).unwrapOrElse(reason => assert.fail(reason.message));
     assert.equal(report.incarnation, "t-1");
     assert.deepEqual(report.inUse, [{ model: "m", version: "v" }]);
