--- a/packages/claims/src/lib/journal/ClaimJournal.history.test.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.history.test.ts
@@ -251,7 +251,7 @@
     }
 
     /** Ends all faults. After that, every owner must grant claims again. */
-    async settle(): Promise<void> {
+    async endFaults(): Promise<void> {
         this.longWaits = false;
         this.table.faults.set({ down: false, stale: false });
         this.objects.faults.set({ down: false });
@@ -262,13 +262,13 @@
         for (let key = 0; key <= 3; key++) {
             const ids = new Set<string>();
             for (let owner = 0; owner < owners; owner++) {
-                ids.add(await this.settledId(key, owner));
+                ids.add(await this.claimIdAt(key, owner));
             }
             assert.ok(ids.size >= 1);
         }
     }
 
-    private async settledId(key: number, owner: number): Promise<string> {
+    private async claimIdAt(key: number, owner: number): Promise<string> {
         const call = this.journal(owner).acquire(request(key, this.agents.runner("a")));
         let outcome: Outcome<Claim> | undefined;
         void call.then(ended => outcome = ended);
@@ -348,7 +348,7 @@
         for (const step of actions) {
             await site.perform(step);
         }
-        await site.settle();
+        await site.endFaults();
     }
     finally {
         process.off("unhandledRejection", note);
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -281,7 +281,7 @@
      * returned.
      */
     private async recover(): Promise<Outcome<void>> {
-        const { collectReports, onRecovery: onRecovery } = this.options;
+        const { collectReports, onRecovery } = this.options;
         const { log: { era, state: { series } } } = this;
         const reports = await collectReports({ series, before: firstGeneration(era) });
         if (reports.isErr) {
--- a/packages/claims/src/lib/recovery/createReportCollector.test.ts
+++ b/packages/claims/src/lib/recovery/createReportCollector.test.ts
@@ -42,7 +42,7 @@
     return known.map((isLive, port) => ({
         process: `t${port}`,
         address: { host: "127.0.0.1", port },
-        isLive: isLive,
+        isLive,
     }));
 }
 
