--- a/packages/gateway/src/lib/directory/createTargetWatch.ts
+++ b/packages/gateway/src/lib/directory/createTargetWatch.ts
@@ -34,8 +34,8 @@
  * Follows the platform's list of targets and keeps a directory in line with it.
  *
  * An unresponsive connection is detected when the call on it times out, which must happen within the contact time: by
- * then, the drain time of a target that left just after the connection stopped working may be over. With waits of 3.5
- * s, requests were sent to such targets up to 1.1 s after their drain time (leavingTargets.test.ts).
+ * then, the drain time of a target that left just after the connection stopped working may be over. With waits of
+ * 3.5 s, requests were sent to such targets up to 1.1 s after their drain time (leavingTargets.test.ts).
  */
 export function createTargetWatch(options: TargetWatchOptions): TableWatch {
     const { clock, store, table, directory, decode, logger, contactTime, drainTime } = options;
--- a/packages/gateway/src/lib/store/EraStore.test.ts
+++ b/packages/gateway/src/lib/store/EraStore.test.ts
@@ -13,8 +13,8 @@
 
 function createStore() {
     const eras = new StoreEras();
-    let rises = 0;
-    eras.onNewEra(() => void rises++);
+    let newEras = 0;
+    eras.onNewEra(() => void newEras++);
     const answers = {
         read: { kind: "read", rows: [], version: 5, era: 1 } as Read,
         watch: { kind: "changes", changes: [], version: 5, era: 1 } as Watched,
@@ -30,24 +30,24 @@
         observation: { logs: silentLogs(), metrics: new GatewayMetrics(new MetricRegistry(new ManualClock())) },
     });
     const write = () => store.write({ table: "t", key: "k", value: 1, expectedVersion: 5 });
-    return { eras, answers, store, write, rises: () => rises };
+    return { eras, answers, store, write, newEras: () => newEras };
 }
 
 test("the first reported era notifies no listener, and replies without an era change nothing", async () => {
-    const { eras, answers, store, rises } = createStore();
+    const { eras, answers, store, newEras } = createStore();
     await store.read("t");
     answers.read = { kind: "unknown", reason: "timeout" };
     await store.read("t");
     assert.equal(eras.current, 1);
-    assert.equal(rises(), 0);
+    assert.equal(newEras(), 0);
 });
 
 test("the era of a refused call counts as well", async () => {
-    const { answers, store, rises } = createStore();
+    const { answers, store, newEras } = createStore();
     await store.read("t");
     answers.read = { kind: "unavailable", reason: "status 503", era: 2 };
     await store.read("t");
-    assert.equal(rises(), 1);
+    assert.equal(newEras(), 1);
 });
 
 test("an answer of an earlier era that comes late is not taken", async () => {
@@ -61,11 +61,11 @@
 });
 
 test("changes after a version of an earlier era are rejected: the table must be read again", async () => {
-    const { answers, store, rises } = createStore();
+    const { answers, store, newEras } = createStore();
     await store.read("t");
     answers.watch = { kind: "changes", changes: [], version: 5, era: 2 };
     assert.equal((await store.watch("t", 5, 0)).kind, "historyGone");
-    assert.equal(rises(), 1);
+    assert.equal(newEras(), 1);
 });
 
 test("a write with an expected version of an earlier era has an unknown result, unless it conflicts", async () => {
