--- a/packages/agent/src/lib/charts/attemptChart.ts
+++ b/packages/agent/src/lib/charts/attemptChart.ts
@@ -8,7 +8,7 @@
 
 const definition = readStateChart<AttemptState, AttemptEvent>(new URL("./attempt.json", import.meta.url));
 
-/** Creates the chart that an attempt follows, at the head and at later stages. @internal */
+/** Creates the state chart of an attempt, used at the head and at later stages. @internal */
 export function createAttemptChart(): StateChart<AttemptState, AttemptEvent> {
     return new StateChart(definition);
 }
--- a/packages/agent/src/lib/head/AnswerSink.ts
+++ b/packages/agent/src/lib/head/AnswerSink.ts
@@ -2,7 +2,7 @@
 import { type AnswerToken } from "./StopMatcher.js";
 
 /**
- * How a whole answer ended.
+ * How a complete answer ended, and its token counts.
  *
  * @internal
  */
@@ -11,21 +11,21 @@
     readonly promptTokens: number;
     readonly cachedTokens: number;
     readonly answerTokens: number;
-    /** Text before a stop string that belongs to the token in which the stop string begins. */
+    /** The text before the stop string within the token that contains the start of the stop string. */
     readonly text?: string;
 }
 
 /**
- * Where the tokens of one attempt go.
+ * Receives the tokens and the result of one attempt.
  *
  * @internal
  */
 export interface AnswerSink {
-    /** False while the caller is so slow that no further token should be drawn. */
+    /** False while no further token should be sampled, because the caller reads too slowly. */
     readonly ready: boolean;
     token(token: AnswerToken): void;
-    /** The answer is whole. Nothing follows. */
+    /** Reports a complete answer. It is the last call. */
     done(end: AnswerEnd): void;
-    /** The attempt ended without a whole answer. Nothing follows. */
+    /** Reports that the attempt ended without a complete answer. It is the last call. */
     failed(fault: ChainFault): void;
 }
--- a/packages/agent/src/lib/head/Decoder.ts
+++ b/packages/agent/src/lib/head/Decoder.ts
@@ -4,7 +4,7 @@
 import { type Timeouts } from "../modelLimits.js";
 import { type SampledToken, type StageWork } from "../stage/StageRunner.js";
 import { type AnswerSink } from "./AnswerSink.js";
-import { type Member } from "./LaterStages.js";
+import { type LaterStage } from "./LaterStages.js";
 import { StopMatcher } from "./StopMatcher.js";
 import { type TokenTimes } from "./TokenTimes.js";
 import { TokenWait } from "./TokenWait.js";
@@ -18,52 +18,51 @@
     readonly times: TokenTimes;
     readonly sink: AnswerSink;
     readonly stop: readonly string[];
-    /** Tokens of the answer, over all attempts, after which it ends. */
+    /** Maximum number of tokens in the answer, over all attempts. */
     readonly maxTokens: number;
-    /** Tokens of the answer that earlier attempts have produced. */
+    /** Number of answer tokens that earlier attempts produced. */
     readonly produced: number;
-    /** Positions of the sequence after which the answer ends. */
+    /** Maximum length of the sequence, prompt included, in tokens. */
     readonly contextTokens: number;
     /** The later stages. */
-    readonly members: () => readonly Member[];
-    /** Positions that the head's own stage has passed on. */
+    readonly members: () => readonly LaterStage[];
+    /** Number of positions that the head's own stage has completed and forwarded. */
     readonly ownPassed: () => number;
     /** Runs positions at the head's own stage. */
     readonly submit: (work: StageWork) => void;
-    /** @param rest - Text that goes before a stop string without a token. */
+    /** @param rest - The text before a stop string that belongs to no released token. */
     readonly finished: (finish: "stop" | "length", rest: string) => void;
     readonly failed: (fault: ChainFault) => void;
 }
 
 /**
- * Runs the prompt and then token after token, in their order. It is the only place that decides which token stands at
- * which position.
+ * Runs the prefill and then decodes token by token, in order. It alone decides which token is at which position.
  *
  * @internal
  */
 export class Decoder {
-    /** Tokens of the answer over all attempts. */
+    /** Number of answer tokens over all attempts. */
     answerTokens: number;
-    private readonly stops: StopMatcher;
+    private readonly stopMatcher: StopMatcher;
     private readonly wait: TokenWait;
-    /** The position in the sequence that the next token takes. */
+    /** The position of the next token in the sequence. */
     private next = 0;
-    /** A token that is drawn and whose successor waits for a slow caller. */
+    /** The last sampled token while decoding is paused for a slow caller. */
     private paused: number | undefined;
     private stopped = false;
 
     constructor(private readonly options: DecoderOptions) {
         const { context, timeouts, request, epoch, ownPassed, members, failed } = options;
         this.answerTokens = options.produced;
-        this.stops = new StopMatcher(options.stop);
+        this.stopMatcher = new StopMatcher(options.stop);
         this.wait = new TokenWait({ context, timeouts, request, epoch, ownPassed, members, lost: failed });
     }
 
     /**
-     * Runs the known tokens and draws the first new one.
+     * Runs the known tokens and samples the first new one.
      *
-     * @param tokens - The prompt, and what earlier attempts produced.
-     * @param start - Leading positions that every stage holds already.
+     * @param tokens - The tokens of the prompt and those that earlier attempts produced.
+     * @param start - Number of leading positions that are cached at every stage.
      */
     start(tokens: readonly number[], start: number): void {
         const { prefillChunk } = this.options.context.settings;
@@ -76,24 +75,24 @@
         }
     }
 
-    /** The caller takes tokens again. */
+    /** Continues decoding once the caller accepts tokens again. */
     resume(): void {
         const token = this.paused;
         if (token !== undefined && !this.stopped) {
             this.paused = undefined;
             this.options.times.resume();
-            this.draw(token);
+            this.runToken(token);
         }
     }
 
-    /** A token was drawn, here or at the last stage. */
+    /** Handles a token that was sampled here or at the last stage. */
     sampled({ position, token, text, end }: SampledToken): void {
         if (this.stopped || position < this.next || !this.wait.waiting) {
             this.options.context.metrics.dropped?.("sampled");
             return;
         }
         if (position > this.next) {
-            const message = `a token for position ${position} came before that for ${this.next}`;
+            const message = `received a token for position ${position}, expected position ${this.next}`;
             this.options.failed({ failure: failure(requestCodes.stageLost, message) });
             return;
         }
@@ -101,18 +100,17 @@
         this.options.times.token();
         this.next++;
         this.answerTokens++;
-        const { released, stopped, rest } = this.stops.push({ id: token, text });
+        const { released, stopped, rest } = this.stopMatcher.push({ id: token, text });
         released.forEach(answer => this.options.sink.token(answer));
-        this.goOn(token, end || stopped, rest);
+        this.advance(token, end || stopped, rest);
     }
 
-    /** Ends the run. */
     stop(): void {
         this.stopped = true;
         this.wait.stop();
     }
 
-    private goOn(token: number, stopped: boolean, rest: string): void {
+    private advance(token: number, stopped: boolean, rest: string): void {
         const { maxTokens, contextTokens, sink } = this.options;
         if (stopped) {
             this.finish("stop", rest);
@@ -126,17 +124,17 @@
             this.paused = token;
             return;
         }
-        this.draw(token);
+        this.runToken(token);
     }
 
-    /** Runs the token at the last position, which draws the next one. */
-    private draw(token: number): void {
+    /** Runs a token through the chain, which samples the next one. */
+    private runToken(token: number): void {
         this.wait.expect(this.next, 1);
         this.options.submit({ position: this.next - 1, count: 1, tokens: [token], prefill: false });
     }
 
     private finish(finish: "stop" | "length", rest: string): void {
-        this.stops.flush().forEach(token => this.options.sink.token(token));
+        this.stopMatcher.flush().forEach(token => this.options.sink.token(token));
         this.options.finished(finish, rest);
     }
 }
--- a/packages/agent/src/lib/head/EntryStream.ts
+++ b/packages/agent/src/lib/head/EntryStream.ts
@@ -8,20 +8,20 @@
     readonly link: Link;
     readonly request: string;
     readonly epoch: number;
-    /** The answer position of the first token to send. */
+    /** The position in the answer of the first token to send. */
     readonly position: number;
-    /** Tokens up to this answer position (excluded) may be sent. */
+    /** The credit: tokens before this position in the answer may be sent. */
     readonly upTo: number;
     readonly load: () => LoadReport;
-    /** Runs when further tokens are welcome again. */
+    /** Called when a grant of credit allows further tokens. */
     readonly drained: () => void;
-    /** Runs once, when the last message has been sent or the stream was dropped. */
+    /** Called once, when the last message has been sent or the stream was dropped. */
     readonly closed: () => void;
 }
 
 /**
- * The stream of one answer to an entry: the tokens of one turn of the event loop in one message, never more than the
- * entry has granted.
+ * Streams one answer to an entry. Tokens that arrive in the same microtask run are sent in one message, and never more
+ * tokens than the entry's credit allows.
  *
  * @internal
  */
@@ -31,7 +31,7 @@
     private position: number;
     private upTo: number;
     private end: AnswerEnd | undefined;
-    private flushPlanned = false;
+    private isFlushScheduled = false;
     private isClosed = false;
 
     constructor(private readonly options: EntryStreamOptions) {
@@ -51,13 +51,13 @@
     token({ id, text }: AnswerToken): void {
         this.ids.push(id);
         this.texts.push(text);
-        if (!this.flushPlanned) {
-            this.flushPlanned = true;
+        if (!this.isFlushScheduled) {
+            this.isFlushScheduled = true;
             queueMicrotask(() => this.flush());
         }
     }
 
-    /** The entry grants more. Grants may come late or out of order; the highest counts. */
+    /** Applies a grant of credit. Grants may arrive late or out of order; the highest counts. */
     credit(upTo: number): void {
         if (upTo <= this.upTo || this.isClosed) {
             return;
@@ -84,7 +84,7 @@
         this.close();
     }
 
-    /** Nobody listens any more. */
+    /** Closes the stream without a final message, because the entry no longer expects one. */
     drop(): void {
         if (!this.isClosed) {
             this.close();
@@ -92,7 +92,7 @@
     }
 
     private flush(): void {
-        this.flushPlanned = false;
+        this.isFlushScheduled = false;
         if (this.isClosed) {
             return;
         }
--- a/packages/agent/src/lib/head/FollowAttempt.ts
+++ b/packages/agent/src/lib/head/FollowAttempt.ts
@@ -2,7 +2,7 @@
 import { type EntryStream } from "./EntryStream.js";
 
 /**
- * A duplicate of a claimed request: gets the answer of the one that runs or ran, and runs nothing itself.
+ * A duplicate of a claimed request: streams the answer of the original, which is running or complete, and runs nothing.
  *
  * @internal
  */
@@ -32,6 +32,6 @@
     }
 
     handOver(): void {
-        // It ends together with the request that it follows.
+        // It ends when the followed request ends.
     }
 }
--- a/packages/agent/src/lib/head/HeadAttempt.test.ts
+++ b/packages/agent/src/lib/head/HeadAttempt.test.ts
@@ -17,7 +17,7 @@
     return site;
 }
 
-/** Whether every engine has dropped the session of an attempt. */
+/** Whether every engine has closed the session of an attempt. */
 async function allClosed(site: TestSite, session: string): Promise<boolean> {
     const exports = [...site.targets.values()].map(({ engine }) => engine.exportCache(session));
     return (await Promise.all(exports)).every(outcome => outcome.isErr);
@@ -36,7 +36,7 @@
     assert.equal(site.targets.get("a")?.queue.running, 0);
 });
 
-test("one target runs alone", async () => {
+test("a single target serves a request alone", async () => {
     const site = new TestSite();
     await site.start("a");
     const answer = await site.entry.open(openMessage({ request: "r1", stages: chainOf(["a"], testLayers) }));
@@ -44,7 +44,7 @@
     assert.deepEqual(answer.ids, reference.tokens);
 });
 
-test("long prompt runs in chunks and its repeat from the prefix cache", async () => {
+test("a long prompt runs in chunks, and its repetition uses the prefix cache", async () => {
     const site = new TestSite();
     await site.startAll(["a", "b", "c"], { agent: { settings: { prefillChunk: 16 } } });
     const prompt = testPrompt.repeat(8);
@@ -71,10 +71,10 @@
     assert.equal(answer.text + (answer.done?.text ?? ""), reference.text.slice(0, reference.text.indexOf(stop)));
     assert.equal(answer.done?.finish, "stop");
     assert.deepEqual(answer.ids, reference.tokens.slice(0, answer.ids.length), "whole tokens before the stop string");
-    assert.ok((answer.done?.answerTokens ?? 0) > answer.ids.length, "those of the stop string count as drawn");
+    assert.ok((answer.done?.answerTokens ?? 0) > answer.ids.length, "the tokens of the stop string are counted");
 });
 
-test("an attempt that is lost after a part of a stop string does not let the answer go on behind it", async () => {
+test("an answer still ends at a stop string when an attempt is lost in the middle of it", async () => {
     // The stop string begins in the middle of a token and ends in a later one.
     const texts = reference.tokens.map(token => tokenText(token));
     const before = texts.slice(0, 4).join("").length + 1;
@@ -84,7 +84,7 @@
         const site = await startThree();
         const first = await site.entry.open(openMessage({ request: "r1", stages: chain, sampling, credit }));
         await site.clock.advanceAsync(3000);
-        // Its end may have been sent already; the entry has not seen it.
+        // The first attempt may have sent its end, which the entry has not received.
         const produced = first.ids.slice();
         const second = await site.entry.open(
             openMessage({ request: "r1", epoch: 1, stages: chain, sampling, produced }),
@@ -96,7 +96,7 @@
     }
 });
 
-test("resumes behind what was produced", async () => {
+test("an attempt resumes after the tokens already produced", async () => {
     const site = await startThree();
     const produced = reference.tokens.slice(0, 7);
     const answer = await site.entry.open(
@@ -108,7 +108,7 @@
     assert.equal(answer.done?.answerTokens, reference.tokens.length);
 });
 
-test("sends no more than the entry grants", async () => {
+test("the head sends no more tokens than the credit of the entry allows", async () => {
     const site = await startThree();
     const answer = await site.entry.open(openMessage({ request: "r1", stages: chain, credit: 3 }));
     await site.clock.advanceAsync(2000, 1);
@@ -125,10 +125,10 @@
     await site.until(() => answer.done !== undefined);
     assert.deepEqual(answer.ids, reference.tokens);
     const interval = answer.done?.load?.tokenInterval ?? 0;
-    assert.ok(interval > 10 && interval < 30, `a slow caller is not taken for a slow target: ${interval} ms`);
+    assert.ok(interval > 10 && interval < 30, `a slow caller does not count as a slow target: ${interval} ms`);
 });
 
-test("refuses what it must not run", async () => {
+test("requests that the head cannot run are refused", async () => {
     const site = await startThree();
     const cases: [string, number, Partial<Parameters<typeof openMessage>[0]>][] = [
         ["other head", requestCodes.wrongTarget.number, { stages: chainOf(["b", "a"], testLayers) }],
@@ -185,12 +185,12 @@
         assert.equal(site.targets.get("a")?.queue.running, 0);
         const steps = site.history.length;
         await site.clock.advanceAsync(300, 1);
-        assert.equal(site.history.length, steps, "nothing runs any more");
+        assert.equal(site.history.length, steps, "nothing runs after the cancellation");
         assert.equal(answer.done, undefined);
     }
 });
 
-test("cancel in the queue leaves it", async () => {
+test("a cancelled request leaves the queue", async () => {
     const site = new TestSite();
     await site.start("a", { slots: 1 });
     const stages = chainOf(["a"], testLayers);
@@ -206,7 +206,7 @@
     assert.equal(site.events("a", "layers.run").filter(({ request }) => request === "r2").length, 0);
 });
 
-test("cancel that overtakes its open keeps it from running", async () => {
+test("a cancellation that arrives before its open message prevents the run", async () => {
     const site = await startThree();
     const link = await site.entry.link("a");
     link.send({ type: "cancel", request: "r1", epoch: 0 });
@@ -215,7 +215,7 @@
     assert.deepEqual(site.events("a", "layers.run"), []);
 });
 
-test("lost entry cancels", async () => {
+test("the loss of the entry cancels the request", async () => {
     const site = await startThree();
     const answer = await site.entry.open(openMessage({ request: "r1", stages: chain }));
     await site.until(() => answer.ids.length > 2);
@@ -265,7 +265,7 @@
     assert.ok(farthest <= 64 + 16, `a stage was ${farthest} positions ahead`);
 });
 
-test("chunks larger than the window pass one at a time", async () => {
+test("chunks larger than the window are sent one at a time", async () => {
     const site = new TestSite(1);
     await site.startAll(["a", "b", "c"], { agent: { settings: { prefillChunk: 64, frameWindow: 10 } } });
     const prompt = testPrompt.repeat(20);
@@ -275,7 +275,7 @@
     assert.deepEqual(answer.ids, expected.tokens);
 });
 
-test("late, repeated and foreign tokens of the last stage change nothing", async () => {
+test("late, repeated and unexpected tokens of the last stage are ignored", async () => {
     const site = new TestSite();
     await site.start("a");
     const tokens = reference.tokens.slice(0, 3);
--- a/packages/agent/src/lib/head/HeadAttempt.ts
+++ b/packages/agent/src/lib/head/HeadAttempt.ts
@@ -20,21 +20,22 @@
 /** @internal */
 export interface HeadAttemptOptions {
     readonly message: OpenMessage;
-    /** The tokens of the answer that are known already; the attempt continues behind them. */
+    /** Answer tokens that earlier attempts produced; the attempt continues after them. */
     readonly produced: readonly number[];
     readonly sink: AnswerSink;
-    /** The stream to the entry that asked, for its credit. */
+    /** The stream to the entry that opened the attempt, which receives the entry's credit. */
     readonly entry: EntryStream;
-    /** True for a claimed request, which runs to its end even if its caller is gone. */
+    /** True for a claimed request, which runs to completion even if its caller has disconnected. */
     readonly claimed: boolean;
-    /** True when it goes on with a run that this agent accepted before; that is no new work. */
-    readonly continues: boolean;
-    /** Runs when the attempt has ended here in any way, before the sink is told. */
+    /** True if the attempt continues a run that this agent has accepted before, which does not count as new work. */
+    readonly isContinuation: boolean;
+    /** Called when the attempt has ended for any reason, before the sink is notified. */
     readonly ended?: (attempt: HeadAttempt) => void;
 }
 
 /**
- * An attempt at its head: waits for a slot, gathers the chain, runs the prompt and then token after token.
+ * An attempt at the head of its chain: waits for a slot, prepares all stages, runs the prompt and then decodes token by
+ * token.
  *
  * @internal
  */
@@ -45,8 +46,8 @@
     private readonly timeouts: Timeouts;
     private span: Span | undefined;
     private deadline: Timer | undefined;
-    /** Runs out when the engine does not get ready in time. */
-    private patience: Timer | undefined;
+    /** Expires when the stages are not ready in time. */
+    private readyTimer: Timer | undefined;
     private session: StageSession | undefined;
     private later: LaterStages | undefined;
     private promptTokens = 0;
@@ -67,7 +68,7 @@
         return this.chart.ended ? undefined : this.options.message;
     }
 
-    /** True while it runs, or while its answer still waits for a slow caller. */
+    /** True while the attempt runs, or while a slow caller has not yet received the whole answer. */
     get active(): boolean {
         return !this.chart.ended || !this.options.entry.closed;
     }
@@ -81,11 +82,11 @@
         return this.session?.started === true;
     }
 
-    /** Asks the queue for a slot. */
+    /** Requests a slot from the work queue. */
     offer(): void {
-        const { message, continues } = this.options;
-        if (continues && this.context.load.leaving) {
-            // The queue takes nothing any more, but a planned stop interrupts nothing either.
+        const { message, isContinuation } = this.options;
+        if (isContinuation && this.context.load.leaving) {
+            // The queue accepts nothing while the target drains, but a run accepted earlier must not be interrupted.
             this.start();
             return;
         }
@@ -104,7 +105,7 @@
         }
     }
 
-    /** The stream to the entry takes tokens again. */
+    /** Continues decoding once the stream to the entry accepts tokens again. */
     resume(): void {
         this.decoder.resume();
     }
@@ -113,12 +114,15 @@
         this.options.entry.credit(upTo);
     }
 
-    /** The next stage takes frames up to a position (excluded). */
+    /** Applies credit of the next stage, which accepts frames before this position. */
     grant(upTo: number): void {
         this.session?.grant(upTo);
     }
 
-    /** The caller is gone. A claimed request still runs to its end, and its answer is kept for duplicates. */
+    /**
+     * Handles a caller that has disconnected or cancelled. A claimed request that has started still runs to completion,
+     * and its answer is kept for duplicates.
+     */
     cancel(retain = false): void {
         this.options.entry.drop();
         if (!this.options.claimed || this.chart.state === "waiting") {
@@ -132,12 +136,12 @@
     }
 
     abandon(): void {
-        this.breakOff("the agent stopped", false);
+        this.abort("the agent stopped", false);
     }
 
     handOver(): void {
         if (!this.options.claimed) {
-            this.breakOff("the target is leaving; go on elsewhere", true);
+            this.abort("the target is leaving; continue on another target", true);
         }
     }
 
@@ -149,18 +153,21 @@
         this.later?.fault({ failure: fromWire(reason), target, exportable });
     }
 
-    /** The last stage has drawn a token. */
+    /** Handles a token that the last stage has sampled. */
     sampled(message: SampledToken): void {
         this.decoder.sampled(message);
     }
 
-    /** An answer that has begun is late already; it waits no longer than a new request would. */
+    /**
+     * The longest wait in the queue, in milliseconds. An answer that has begun is late already, so it may wait as long
+     * as a new request, but no longer.
+     */
     private startBound(): number {
         const { produced, firstTokenBound } = this.options.message;
         return produced.length === 0 ? firstTokenBound : Math.max(firstTokenBound, this.timeouts.firstToken);
     }
 
-    private breakOff(message: string, exportable: boolean): void {
+    private abort(message: string, exportable: boolean): void {
         const { target } = this.context;
         const fault = { failure: failure(requestCodes.stageLost, message), target, exportable };
         this.fail(fault);
@@ -171,10 +178,10 @@
         if (!this.chart.send("start")) {
             return;
         }
-        const { context, options: { message, continues } } = this;
+        const { context, options: { message, isContinuation } } = this;
         const { request, epoch } = message;
         this.times.start();
-        if (!continues) {
+        if (!isContinuation) {
             context.record({ event: "work.accepted", request, epoch, target: context.target });
         }
         this.span = context.tracer.startSpan("agent.head", {
@@ -186,7 +193,7 @@
 
     private async prepare(): Promise<void> {
         const { message, produced } = this.options;
-        this.patience = this.context.clock.schedule(() => this.notReady(), 2 * this.joinTimeout());
+        this.readyTimer = this.context.clock.schedule(() => this.notReady(), 2 * this.joinTimeout());
         const prompt = await guarded(() => this.context.engine.tokenize(message.model, message.prompt));
         if (this.chart.ended) {
             return;
@@ -206,11 +213,11 @@
             this.finish("length");
             return;
         }
-        await this.gather(tokens);
+        await this.prepareStages(tokens);
     }
 
-    /** Prepares every stage, and starts behind the shortest prefix that all of them hold. */
-    private async gather(tokens: number[]): Promise<void> {
+    /** Prepares every stage, and starts after the shortest cached prefix of all stages. */
+    private async prepareStages(tokens: number[]): Promise<void> {
         const session = this.createSession(tokens);
         const later = this.createLaterStages(tokens);
         this.session = session;
@@ -228,8 +235,8 @@
             return;
         }
         this.chart.send("ready");
-        this.patience?.cancel();
-        // The last position must run in any case, since the next token is drawn from it.
+        this.readyTimer?.cancel();
+        // The last position must run even if it is cached, since the next token is sampled from it.
         const start = Math.min(own.value, others.value, tokens.length - 1);
         this.cachedTokens = Math.min(start, this.promptTokens);
         this.decoder.start(tokens, start);
@@ -314,7 +321,7 @@
         }
     }
 
-    /** Ends the attempt before anything ran. */
+    /** Ends the attempt before any layer has run. */
     private refuse({ failure: reason, ...where }: ChainFault): void {
         const notRun = asNotRun(reason);
         if (this.stop("refuse", false)) {
@@ -335,7 +342,7 @@
         record({ event: "work.refused", request, epoch, target, code: reason.code.number });
     }
 
-    /** Frees everything held for the attempt. Returns false if it had ended before. */
+    /** Ends the attempt and releases all its resources. Returns false if it had already ended. */
     private stop(event: AttemptEvent, retain: boolean): boolean {
         const waiting = this.chart.state === "waiting";
         if (!this.chart.send(event)) {
@@ -343,7 +350,7 @@
         }
         this.decoder.stop();
         this.deadline?.cancel();
-        this.patience?.cancel();
+        this.readyTimer?.cancel();
         this.session?.close(retain);
         this.later?.close(retain);
         this.releaseSlot(waiting);
--- a/packages/agent/src/lib/head/HeadRequests.test.ts
+++ b/packages/agent/src/lib/head/HeadRequests.test.ts
@@ -80,7 +80,7 @@
     await site.until(() => ended(second));
     assert.equal(first.ids.length, 1);
     assert.deepEqual(second.ids, reference.tokens);
-    assert.equal(site.targets.get("a")?.queue.running, 0, "the slot is free while the answer waits");
+    assert.equal(site.targets.get("a")?.queue.running, 0, "the slot is free while the answer waits for its caller");
     (await site.entry.link("a")).send({ type: "credit", request: "r1", epoch: 0, upTo: 100 });
     await site.until(() => ended(first));
     assert.deepEqual(first.ids, reference.tokens);
@@ -122,7 +122,7 @@
     assert.deepEqual(requestsThatRan(site), ["r1"]);
 });
 
-test("newer epoch takes over a claimed run that still goes", async () => {
+test("a newer epoch takes over a claimed run in progress", async () => {
     const site = await startSite();
     const first = await site.entry.open(claimed("r1"));
     await site.until(() => first.ids.length > 4);
@@ -133,7 +133,7 @@
     assert.deepEqual(requestsThatRan(site), ["r1"]);
 });
 
-test("claim refused as not run stays refused", async () => {
+test("a claim refused as not run stays refused", async () => {
     const site = await startSite();
     site.kill("c");
     const first = await site.entry.open(claimed("r1"));
@@ -145,14 +145,14 @@
     assert.deepEqual(site.events("a", "layers.run"), []);
 });
 
-test("claim whose first attempt ran without a token is never called not run", async () => {
+test("a claim whose first attempt ran without a token is never reported as not run", async () => {
     const site = await startSite();
     const first = await site.entry.open(claimed("r1"));
     await site.until(() => site.events("a", "layers.run").length > 0);
     site.kill("c");
     await site.until(() => ended(first));
     assert.equal(first.ids.length, 0);
-    // The next attempt is refused before anything runs in it.
+    // The next attempt is refused before any layer runs.
     const next = await site.entry.open(claimed("r1", { epoch: 1 }));
     await site.until(() => ended(next));
     const duplicate = await site.entry.open(claimed("r2", { stages: chainOf(["a", "b", "d"], testLayers) }));
@@ -160,7 +160,7 @@
     assert.equal(duplicate.failed?.failure.code, requestCodes.inProgress.number);
 });
 
-test("claim that ran is never called not run, though the model is gone", async () => {
+test("a claim that ran is never reported as not run, even after its model is unloaded", async () => {
     const site = await startSite();
     const first = await site.entry.open(claimed("r1"));
     await site.until(() => ended(first));
@@ -190,7 +190,7 @@
 
 test("claimed request goes on at a head that leaves", async () => {
     const site = await startSite();
-    // The length of the fake model's answer depends on the seed; this one must outlast the bound on leaving.
+    // The length of the fake model's answer depends on the seed; it must still run 3000 ms after the target leaves.
     const seeds = Array.from({ length: 100 }, (_, seed) => ({ maxTokens: 400, stop: [], seed }));
     const sampling = seeds.find(options => lengthOf(options) === 400);
     assert.ok(sampling !== undefined);
@@ -214,7 +214,7 @@
     assert.deepEqual(site.violations(), []);
 });
 
-test("each hop has a span, and passes its own on as the parent of the next", async () => {
+test("each hop has a span, which is the parent of the span of the next hop", async () => {
     const spans: { name: string; id: string; parent: string | undefined; trace: string; }[] = [];
     const exporter = {
         export: (ended: Parameters<SpanExporter["export"]>[0], done: Parameters<SpanExporter["export"]>[1]) => {
--- a/packages/agent/src/lib/head/HeadRequests.ts
+++ b/packages/agent/src/lib/head/HeadRequests.ts
@@ -9,21 +9,21 @@
 import { HeadAttempt } from "./HeadAttempt.js";
 
 interface StreamHandlers {
-    /** The link to the entry closed. */
+    /** Called when the link to the entry has closed. */
     readonly lost: () => void;
     readonly drained: () => void;
     readonly closed: () => void;
 }
 
 /**
- * Takes `open` messages: refuses what this agent must not run, and starts or joins the rest.
+ * Handles `open` messages: refuses requests that this agent must not run, starts new ones, and attaches duplicates of a
+ * claimed request to the original.
  *
  * @internal
  */
 export class HeadRequests {
     constructor(private readonly context: AgentContext, private readonly claims: AnswerClaims) {}
 
-    /** Takes an `open` message. */
     async open(message: OpenMessage, link: Link): Promise<void> {
         const { request, epoch, claim } = message;
         const verdict = this.context.table.judge(request, epoch);
@@ -36,7 +36,7 @@
             return;
         }
         const refusal = this.check(message) ?? await this.checkHeld(message);
-        // The engine may have been asked in between, and a newer attempt or the cancellation have arrived.
+        // A newer attempt or a cancellation may have arrived while the engine was queried.
         if (this.context.table.judge(request, epoch) !== "new" || !link.open) {
             return;
         }
@@ -51,7 +51,7 @@
         this.openClaimed(message, link, claimUse(message, claim));
     }
 
-    /** Answers an `open` that comes after the agent has closed. */
+    /** Refuses an `open` message that arrives after the agent has closed. */
     refuseClosed(message: OpenMessage, link: Link): void {
         this.refuse(message, link, closedFailure(this.mayHaveRun(message)));
     }
@@ -64,7 +64,7 @@
         return this.context.load.leaving ? failure(requestCodes.stopping, "the target is leaving") : chain;
     }
 
-    /** Whether the request may have run here before. It is no new work then, and must not be called "not run". */
+    /** Whether the request may have run here before. It is then not new work, and must not be reported as "not run". */
     private mayHaveRun({ claim }: OpenMessage): boolean {
         return claim !== undefined && this.claims.knows(claim);
     }
@@ -80,7 +80,7 @@
     }
 
     private openClaimed(message: OpenMessage, link: Link, use: ClaimUse): void {
-        // An older attempt of the same request stops first, so that this one goes on with what it left.
+        // An older attempt of the same request stops first, so that this one continues from its recorded answer.
         this.context.table.supersede(message.request, message.epoch);
         const admitted = this.claims.admit(use);
         if (admitted.isErr) {
@@ -89,7 +89,7 @@
         }
         const { action, record } = admitted.value;
         if (!startsWith(record.items.map(item => item.id), message.produced)) {
-            this.refuse(message, link, failure(requestCodes.outcomeUnknown, "the answer kept here is another one"));
+            this.refuse(message, link, failure(requestCodes.outcomeUnknown, "the recorded answer is a different one"));
             return;
         }
         if (action === "follow") {
@@ -111,7 +111,7 @@
             sink: stream,
             entry: stream,
             claimed: false,
-            continues: false,
+            isContinuation: false,
         });
         this.context.table.begin(message.request, attempt);
         attempt.offer();
@@ -140,9 +140,9 @@
             sink: new RecordSink(this.claims, record, stream),
             entry: stream,
             claimed: true,
-            continues: record.resumed,
+            isContinuation: record.resumed,
             ended: ended => {
-                this.noteCancelled(ended, record);
+                this.recordCancellation(ended, record);
                 partEnded();
             },
         });
@@ -151,8 +151,8 @@
         attempt.offer();
     }
 
-    /** A cancelled run tells its sink nothing, but its claim must not look as if it still ran. */
-    private noteCancelled(attempt: HeadAttempt, record: AnswerRecord): void {
+    /** Marks the claim of a cancelled run as interrupted, because a cancellation does not notify the sink. */
+    private recordCancellation(attempt: HeadAttempt, record: AnswerRecord): void {
         if (attempt.state === "cancelled") {
             this.claims.interrupted(record, failure(requestCodes.inProgress, "the request was cancelled"));
         }
@@ -197,7 +197,7 @@
         });
     }
 
-    /** Refuses an attempt as this agent's decision. A late copy of it will not run either. */
+    /** Refuses an attempt and records the refusal, so that a late copy of its message does not run either. */
     private refuse(message: OpenMessage, link: Link, reason: Failure): void {
         const { request, epoch, claim } = message;
         this.context.table.end(request, epoch);
@@ -226,18 +226,18 @@
     return beginning.length <= list.length && beginning.every((value, index) => value === list[index]);
 }
 
-/** Checks that the chain covers every layer once, in order, from this target on, with no target twice. */
+/** Checks that the chain starts at this target, covers every layer once and in order, and contains no target twice. */
 function checkChain({ stages }: OpenMessage, target: string): Failure | undefined {
     if (stages[0]?.target !== target) {
         return failure(requestCodes.wrongTarget, `the head is ${stages[0]?.target ?? "missing"}, not ${target}`);
     }
     if (new Set(stages.map(stage => stage.target)).size !== stages.length) {
-        return failure(requestCodes.malformed, "a target stands twice in the chain");
+        return failure(requestCodes.malformed, "the chain contains a target twice");
     }
-    return followsOn(stages) ? undefined : failure(requestCodes.malformed, "the chain leaves out or repeats a layer");
+    return coversInOrder(stages) ? undefined : failure(requestCodes.malformed, "the chain omits or repeats a layer");
 }
 
-function followsOn(stages: readonly Stage[]): boolean {
+function coversInOrder(stages: readonly Stage[]): boolean {
     let next = 0;
     for (const { first, last } of stages) {
         if (first !== next || last < first) {
--- a/packages/agent/src/lib/head/LaterStages.ts
+++ b/packages/agent/src/lib/head/LaterStages.ts
@@ -8,29 +8,29 @@
 /** @internal */
 export interface LaterStagesOptions {
     readonly context: AgentContext;
-    /** What every stage is asked; `index` is set for each. */
+    /** The message for every stage, without its `index`. */
     readonly join: Omit<JoinMessage, "index">;
-    /** Milliseconds for all stages to get ready. */
+    /** Milliseconds within which all stages must be ready. */
     readonly timeout: number;
-    /** A stage was lost after all had joined. */
+    /** Called when a stage is lost after all have joined. */
     readonly lost: (fault: ChainFault) => void;
 }
 
 /** @internal */
-export interface Member {
+export interface LaterStage {
     readonly stage: Stage;
     link: Link | undefined;
     cached: number | undefined;
 }
 
 /**
- * The stages of a chain behind its head, as the head sees them: asks them to take part, waits for all, and notices
- * when one is lost.
+ * The head's connection to the later stages of its chain: sends them `join`, waits until all are ready, and detects the
+ * loss of a stage.
  *
  * @internal
  */
 export class LaterStages {
-    readonly members: readonly Member[];
+    readonly members: readonly LaterStage[];
     private readonly unwatch: (() => void)[] = [];
     private settle: ((result: Result<number, ChainFault>) => void) | undefined;
     private timer: Timer | undefined;
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Asks every stage to take part.
+     * Sends `join` to every stage and waits until all are ready.
      *
      * @returns The length of the shortest cached prefix, or the first fault. Nothing has run in either case.
      */
@@ -56,7 +56,7 @@
         });
     }
 
-    /** A stage is ready. */
+    /** Handles a `joined` message: its stage is ready. */
     joined({ target, cached }: JoinedMessage): void {
         const member = this.members.find(candidate => candidate.stage.target === target);
         if (member === undefined || this.settle === undefined) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Reports a fault: to whoever waits for the chain, or as a loss. */
+    /** Handles a fault of a stage: fails the pending join, or reports the stage as lost if all have joined. */
     fault(fault: ChainFault): void {
         if (this.closed) {
             return;
@@ -94,7 +94,7 @@
         this.members.forEach(member => member.link?.send(cancel));
     }
 
-    private async connect(member: Member, index: number): Promise<void> {
+    private async connect(member: LaterStage, index: number): Promise<void> {
         const { context, join } = this.options;
         const { host, port, target } = member.stage;
         const link = await context.pool.connect({ host, port });
--- a/packages/agent/src/lib/head/StopMatcher.test.ts
+++ b/packages/agent/src/lib/head/StopMatcher.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { type AnswerToken, StopMatcher } from "./StopMatcher.js";
 
-test("whatever the tokens, the text ends before the first stop string and nothing of it leaks", () => {
+test("the text ends before the first stop string and contains no part of it, for any tokens", () => {
     const piece = fc.string({ unit: fc.constantFrom("a", "b", "c"), maxLength: 3 });
     const stops = fc.array(fc.string({ unit: fc.constantFrom("a", "b", "c"), minLength: 1, maxLength: 4 }), {
         maxLength: 3,
@@ -31,7 +31,7 @@
             assert.equal(stopped, found.length > 0);
             const text = found.length > 0 ? cutText(texts, stop, taken) : whole;
             assert.equal(textOf(sent) + rest, text);
-            // What is sent are whole tokens from the first one on, as many as lie before the stop string.
+            // The tokens sent are exactly the whole tokens before the stop string.
             assert.deepEqual(sent, texts.slice(0, sent.length).map((own, id) => ({ id, text: own })));
             const next = textOf(sent).length + (texts[sent.length]?.length ?? 0);
             assert.ok(sent.length === taken || next > text.length, "no token was left out before the stop string");
@@ -40,14 +40,14 @@
     );
 });
 
-/** The text of the tokens taken, up to the first stop string in it. */
+/** The text of the tokens pushed, up to its first stop string. */
 function cutText(texts: readonly string[], stops: readonly string[], taken: number): string {
     const text = texts.slice(0, taken).join("");
     const first = Math.min(...stops.map(stop => text.indexOf(stop)).filter(index => index >= 0));
     return text.slice(0, first);
 }
 
-test("attempts that resume behind what was released find every stop string without the earlier text", () => {
+test("attempts that resume after the released tokens find every stop string without the earlier text", () => {
     const piece = fc.string({ unit: fc.constantFrom("a", "b"), maxLength: 3 });
     const stops = fc.array(fc.string({ unit: fc.constantFrom("a", "b"), minLength: 1, maxLength: 6 }), {
         maxLength: 3,
@@ -62,7 +62,7 @@
     );
 });
 
-/** The text that is sent when attempts are lost after some tokens each, and the last one lives. */
+/** The text that is sent when each attempt but the last is lost after the given number of tokens. */
 function sendOver(texts: readonly string[], stop: readonly string[], lives: readonly number[]): string {
     const sent: AnswerToken[] = [];
     for (const life of [...lives, texts.length]) {
--- a/packages/agent/src/lib/head/StopMatcher.ts
+++ b/packages/agent/src/lib/head/StopMatcher.ts
@@ -1,4 +1,4 @@
-/** A token with the text that the caller gets for it. @internal */
+/** A token of an answer and its text. @internal */
 export interface AnswerToken {
     readonly id: number;
     readonly text: string;
@@ -6,18 +6,18 @@
 
 /** @internal */
 export interface StopResult {
-    /** Tokens whose text cannot become part of a stop string any more, in order. */
+    /** Tokens whose text can no longer be part of a stop string, in order. */
     readonly released: readonly AnswerToken[];
     /** True when a stop string was found; `released` then ends before it. */
     readonly stopped: boolean;
-    /** Text before the stop string that belongs to the token in which it begins; that token is not released. */
+    /** The text before the stop string within the token that contains its start; that token is not released. */
     readonly rest: string;
 }
 
 /**
- * Looks for stop strings in the text of an answer. It holds back tokens while their text may be the beginning of one, so
- * that no part of a stop string reaches the caller. No token with a part of one is released ever: an attempt that resumes
- * behind the released tokens meets the whole stop string again.
+ * Finds stop strings in the text of an answer. Tokens are held back while their text may be the start of a stop string,
+ * so that no part of one reaches the caller. A token that contains part of a stop string is never released, so an
+ * attempt that resumes after the released tokens sees the whole stop string again.
  *
  * @internal
  */
@@ -40,10 +40,10 @@
         if (found !== undefined) {
             return { ...this.cutAt(found), stopped: true };
         }
-        return { released: this.release(this.text.length - this.longestBeginning()), stopped: false, rest: "" };
+        return { released: this.release(this.text.length - this.longestPartialMatch()), stopped: false, rest: "" };
     }
 
-    /** Gives out what is held, when the answer ends otherwise. */
+    /** Returns the tokens held back, for an answer that ends without a stop string. */
     flush(): readonly AnswerToken[] {
         const rest = this.held;
         this.held = [];
@@ -56,8 +56,8 @@
         return found.length === 0 ? undefined : Math.min(...found);
     }
 
-    /** The length of the longest end of the text with which a stop string begins. */
-    private longestBeginning(): number {
+    /** The length of the longest suffix of the text that is a proper prefix of a stop string. */
+    private longestPartialMatch(): number {
         const longest = Math.max(...this.stops.map(stop => stop.length - 1));
         for (let length = Math.min(longest, this.text.length); length > 0; length--) {
             const end = this.text.slice(this.text.length - length);
@@ -68,7 +68,7 @@
         return 0;
     }
 
-    /** Releases the leading tokens that lie before an index of the text as a whole. */
+    /** Releases the leading tokens that end at or before an index of the text. */
     private release(safe: number): AnswerToken[] {
         const released: AnswerToken[] = [];
         let length = 0;
@@ -84,7 +84,7 @@
         return released;
     }
 
-    /** Releases the tokens that lie before an index, and the rest of the text before it. */
+    /** Releases the tokens that end at or before an index, and returns the remaining text before it as `rest`. */
     private cutAt(index: number): Pick<StopResult, "released" | "rest"> {
         const before = this.text.slice(0, index);
         const released = this.release(index);
--- a/packages/agent/src/lib/head/TokenTimes.ts
+++ b/packages/agent/src/lib/head/TokenTimes.ts
@@ -1,13 +1,13 @@
 import { type AgentContext } from "../AgentContext.js";
 
 /**
- * Measures one stream: the time to its first token and between later ones, in milliseconds.
+ * Measures the time to the first token and the intervals between tokens of one stream, in milliseconds.
  *
  * @internal
  */
 export class TokenTimes {
     private startedAt = 0;
-    /** When the last token came, or the caller began to take tokens again. */
+    /** When the last token arrived, or when the caller last accepted tokens again after a pause. */
     private lastAt: number | undefined;
 
     constructor(private readonly context: Pick<AgentContext, "clock" | "load" | "queue" | "metrics">) {}
@@ -21,12 +21,12 @@
         this.startedAt = this.context.clock.now();
     }
 
-    /** A caller who was slow takes tokens again; the time in between says nothing about the target. */
+    /** Restarts the interval once a slow caller accepts tokens again; the pause does not reflect the target's speed. */
     resume(): void {
         this.lastAt = this.context.clock.now();
     }
 
-    /** Takes the arrival of a token. */
+    /** Records the arrival of a token. */
     token(): void {
         const { clock, load, queue, metrics } = this.context;
         const now = clock.now();
--- a/packages/agent/src/lib/head/TokenWait.ts
+++ b/packages/agent/src/lib/head/TokenWait.ts
@@ -4,8 +4,8 @@
 import { type Timeouts } from "../modelLimits.js";
 import { type StageState, stageStateSchema, stateMethodName } from "../stage/stateMethod.js";
 import { Watchdog } from "../stage/Watchdog.js";
-import { judgeSilence, type Silence } from "./judgeSilence.js";
-import { type Member } from "./LaterStages.js";
+import { type BlockingStage, findBlockingStage } from "./judgeSilence.js";
+import { type LaterStage } from "./LaterStages.js";
 
 /** @internal */
 export interface TokenWaitOptions {
@@ -14,54 +14,54 @@
     readonly request: string;
     readonly epoch: number;
     /** The later stages with their links. */
-    readonly members: () => readonly Member[];
-    /** Positions that the head's own stage has passed on. */
+    readonly members: () => readonly LaterStage[];
+    /** Number of positions that the head's own stage has completed and forwarded. */
     readonly ownPassed: () => number;
-    /** Runs when no token will come. */
+    /** Called when the token is given up. */
     readonly lost: (fault: ChainFault) => void;
 }
 
 /**
- * The head's wait for the token of a position. When it does not come in time, the head asks every stage how far it is:
- * one that works gets more time, and one that does not answer, or that a frame does not reach, is at fault.
+ * The head's wait for the next token. If it does not arrive in time, the head queries the progress of every stage: a
+ * stage that is working gets more time, and a stage that does not answer, or that a frame does not reach, is at fault.
  *
  * @internal
  */
 export class TokenWait {
     private readonly watchdog: Watchdog;
     private count = 0;
-    private wanted = 0;
+    private requiredPosition = 0;
     private since = 0;
-    /** Counts the waits, so that answers to an earlier question are not taken for a later one. */
-    private turn = 0;
-    /** How far all stages together were when they were last asked. */
+    /** Number of the current wait, so that answers to a query of an earlier wait are ignored. */
+    private waitNumber = 0;
+    /** The sum of the progress of all stages at the last query. */
     private progress = 0;
-    /** The stage that a frame had not reached when it was last asked. */
+    /** The stage that a frame had not reached at the last query. */
     private suspect: string | undefined;
 
     constructor(private readonly options: TokenWaitOptions) {
-        this.watchdog = new Watchdog(options.context.clock, () => void this.ask());
+        this.watchdog = new Watchdog(options.context.clock, () => void this.checkStages());
     }
 
-    /** True while a token is due. */
+    /** True while a token is expected. */
     get waiting(): boolean {
         return this.count > 0;
     }
 
     /**
-     * Starts to wait for a token.
+     * Starts waiting for a token.
      *
-     * @param position - The position that the token takes; all before it must pass every stage.
-     * @param count - How many positions are run for it.
+     * @param position - The position of the token; all positions before it must pass every stage.
+     * @param count - The number of positions that are run for it.
      */
     expect(position: number, count: number): void {
-        this.turn++;
+        this.waitNumber++;
         this.count = count;
-        this.wanted = position;
+        this.requiredPosition = position;
         this.since = this.options.context.clock.now();
         this.suspect = undefined;
         this.progress = 0;
-        // The first question comes after the time of one chunk: a long prompt must not hide a dead stage.
+        // The first query is due after the time for one chunk, so that a dead stage is found during a long prompt.
         const { timeouts, context } = this.options;
         this.watchdog.expect(timeouts.silence(Math.min(count, context.settings.prefillChunk)));
     }
@@ -76,23 +76,23 @@
         this.watchdog.stop();
     }
 
-    private async ask(): Promise<void> {
-        const { turn, wanted } = this;
+    private async checkStages(): Promise<void> {
+        const { waitNumber, requiredPosition } = this;
         const members = this.options.members();
-        const states = await Promise.all(members.map(member => this.askStage(member)));
-        if (turn !== this.turn || !this.waiting) {
+        const states = await Promise.all(members.map(member => this.fetchState(member)));
+        if (waitNumber !== this.waitNumber || !this.waiting) {
             return;
         }
         const targets = members.map(member => member.stage.target);
         const ownPassed = this.options.ownPassed();
-        const judgement = judgeSilence(wanted, ownPassed, targets, states);
+        const judgement = findBlockingStage(requiredPosition, ownPassed, targets, states);
         const progress = states.reduce((sum, state) => sum + (state?.taken ?? 0) + (state?.passed ?? 0), ownPassed);
         const moved = progress !== this.progress;
         this.progress = progress;
         this.act(judgement.kind, judgement.target, moved);
     }
 
-    private act(kind: Silence["kind"], target: string | undefined, moved: boolean): void {
+    private act(kind: BlockingStage["kind"], target: string | undefined, moved: boolean): void {
         const { context, timeouts } = this.options;
         const tooLong = context.clock.now() - this.since >= timeouts.hard(this.count);
         const suspectedTwice = kind === "unreached" && this.suspect === target && !moved;
@@ -106,7 +106,7 @@
         this.watchdog.expect(timeouts.silence(1));
     }
 
-    private async askStage({ link }: Member): Promise<StageState | undefined> {
+    private async fetchState({ link }: LaterStage): Promise<StageState | undefined> {
         const { request, epoch, context } = this.options;
         const answer = await link?.request(stateMethodName, { request, epoch }, context.settings.stateTimeout);
         const state = answer?.isOk === true ? stageStateSchema.safeParse(answer.value) : undefined;
--- a/packages/agent/src/lib/head/chainMessages.ts
+++ b/packages/agent/src/lib/head/chainMessages.ts
@@ -2,22 +2,22 @@
 import { type Timeouts } from "../modelLimits.js";
 import { type StagePlan } from "../stage/StageSession.js";
 
-/** Characters of prompt for one token, to estimate the cost before the prompt is read. */
+/** Characters of a prompt per token, to estimate the cost before the prompt is tokenized. */
 const charactersPerToken = 4;
 
-/** About how many tokens must be prefilled. @internal */
+/** Estimates the number of tokens to prefill. @internal */
 export function estimateCost({ prompt, produced }: OpenMessage): number {
     return Math.ceil(prompt.length / charactersPerToken) + produced.length;
 }
 
-/** What the head's own stage must know. @internal */
+/** Creates the plan of the head's own stage. @internal */
 export function headPlan(message: OpenMessage, tokens: readonly number[], timeouts: Timeouts): StagePlan {
     const { request, epoch, model, version, adapter, priority, sampling, stages, exporters } = message;
     const index = 0;
     return { request, epoch, model, version, adapter, priority, sampling, stages, exporters, index, tokens, timeouts };
 }
 
-/** What the head asks of the later stages. @internal */
+/** Creates the `join` message for the later stages, without the index of the stage. @internal */
 export function joinRequest(
     message: OpenMessage,
     tokens: number[],
--- a/packages/agent/src/lib/head/judgeSilence.ts
+++ b/packages/agent/src/lib/head/judgeSilence.ts
@@ -1,37 +1,37 @@
 import { type StageState } from "../stage/stateMethod.js";
 
 /**
- * Why a token has not come.
+ * The stage that delays a token, and the reason:
  *
- * - `dead`: the target does not answer, or has left the attempt.
- * - `working`: the target has the frame and works on it.
- * - `unreached`: the stage before the target has passed the frame on, but it has not arrived, or the last stage's token
- *   has not reached the head.
+ * - `dead`: the target does not answer, or no longer runs the attempt.
+ * - `working`: the target has received the frame and is processing it.
+ * - `unreached`: the stage before the target has forwarded the frame, but the target has not received it, or the head
+ *   has not received the token of the last stage.
  *
  * @internal
  */
-export interface Silence {
+export interface BlockingStage {
     readonly kind: "dead" | "working" | "unreached";
     /** Undefined for the head's own stage. */
     readonly target: string | undefined;
 }
 
 /**
- * Finds the first stage that holds up a token.
+ * Finds the first stage that delays a token.
  *
- * @param wanted - Positions that must have passed every stage.
- * @param ownPassed - Positions that the head's own stage has passed on.
- * @param targets - The later stages, in order.
- * @param states - What each said; undefined for one that did not answer.
+ * @param wanted - Number of positions that every stage must have completed.
+ * @param ownPassed - Number of positions that the head's own stage has completed and forwarded.
+ * @param targets - The targets of the later stages, in order.
+ * @param states - The state of each later stage; undefined for a stage that did not answer.
  * @internal
  */
-export function judgeSilence(
+export function findBlockingStage(
     wanted: number,
     ownPassed: number,
     targets: readonly string[],
     states: readonly (StageState | undefined)[],
-): Silence {
-    // A dead stage is found even while an earlier one still works, since the token could not come.
+): BlockingStage {
+    // A dead stage is reported even while an earlier stage is working, since no token can arrive.
     const dead = states.findIndex(state => state?.open !== true);
     if (dead >= 0) {
         return { kind: "dead", target: targets[dead] };
