--- a/packages/agent/src/lib/kv/SessionTable.ts
+++ b/packages/agent/src/lib/kv/SessionTable.ts
@@ -4,14 +4,14 @@
 import { guarded } from "../guarded.js";
 
 /**
- * A session of the engine, as the agent knows it.
+ * The agent's record of a session of the engine.
  *
  * @internal
  */
 export interface SessionRecord {
     readonly request: string;
     readonly epoch: number;
-    /** The engine's name of the session. */
+    /** The id of the session at the engine. */
     readonly session: string;
     readonly model: string;
     readonly version: string;
@@ -19,13 +19,13 @@
     readonly first: number;
     readonly last: number;
     /**
-     * Leading positions whose tokens every later attempt shares: the prompt and what had been delivered when this
-     * attempt began. Tokens behind them may have been drawn and never delivered.
+     * Number of leading positions whose tokens all later attempts share: the prompt, and the part of the answer that
+     * was delivered before this attempt began. Later tokens may have been sampled but never delivered.
      */
     readonly known: number;
 }
 
-/** The KV cache of a session, as it travels. @internal */
+/** An exported KV cache of a session. @internal */
 export interface CacheExport {
     readonly positions: number;
     readonly known: number;
@@ -34,43 +34,43 @@
 
 interface Entry {
     readonly record: SessionRecord;
-    retired: Timer | undefined;
+    retireTimer: Timer | undefined;
     exported: Promise<Outcome<CacheExport>> | undefined;
 }
 
 /**
- * The engine sessions of this agent: those in use, and those of failed attempts whose KV cache stays for export a short
- * time.
+ * The engine sessions of this agent: those in use, and those of failed attempts, whose KV cache is retained for export
+ * for a short time.
  *
  * @internal
  */
 export class SessionTable {
     private readonly entries = new Map<string, Entry>();
 
-    /** @param retention - Milliseconds for which a retired session stays. */
+    /** @param retention - Milliseconds for which a retired session is retained. */
     constructor(private readonly engine: Engine, private readonly clock: Clock, private readonly retention: number) {}
 
-    /** Sessions that the engine holds for this agent. */
+    /** Number of sessions that the engine holds for this agent. */
     get size(): number {
         return this.entries.size;
     }
 
-    /** Enters a session that the engine has opened. */
+    /** Adds a session that the engine has opened. */
     add(record: SessionRecord): void {
-        this.entries.set(record.session, { record, retired: undefined, exported: undefined });
+        this.entries.set(record.session, { record, retireTimer: undefined, exported: undefined });
     }
 
-    /** Ends the use of a session: it is closed at once, or stays for export when `retain` is set. */
+    /** Ends the use of a session: closes it immediately, or retains it for export if `retain` is set. */
     release(session: string, retain: boolean): void {
         const entry = this.entries.get(session);
         if (entry === undefined || !retain) {
             this.drop(session);
             return;
         }
-        entry.retired ??= this.clock.schedule(() => this.drop(session), this.retention);
+        entry.retireTimer ??= this.clock.schedule(() => this.drop(session), this.retention);
     }
 
-    /** The newest session of an earlier attempt here that holds the same layers of the same version. */
+    /** Returns the newest session here of an earlier attempt that holds the same layers of the same version. */
     findEarlier(wanted: SessionRecord): SessionRecord | undefined {
         let best: SessionRecord | undefined;
         for (const { record } of this.entries.values()) {
@@ -82,7 +82,7 @@
         return best;
     }
 
-    /** Exports the KV cache of an attempt's session. Calls for the same one share one export. */
+    /** Exports the KV cache of an attempt's session. Calls for the same session share one export. */
     async export(request: string, epoch: number): Promise<Outcome<CacheExport>> {
         const entry = this.find(request, epoch);
         if (entry === undefined) {
@@ -92,9 +92,9 @@
         return entry.exported;
     }
 
-    /** Closes every session that is retired. */
+    /** Closes all retired sessions. */
     dropRetired(): void {
-        [...this.entries.values()].filter(entry => entry.retired !== undefined).forEach(entry =>
+        [...this.entries.values()].filter(entry => entry.retireTimer !== undefined).forEach(entry =>
             this.drop(entry.record.session)
         );
     }
@@ -115,9 +115,9 @@
     }
 
     private drop(session: string): void {
-        this.entries.get(session)?.retired?.cancel();
+        this.entries.get(session)?.retireTimer?.cancel();
         this.entries.delete(session);
-        // A session that cannot be closed is the engine's to forget.
+        // If closing fails, the engine is responsible for discarding the session.
         this.engine.close(session).catch(() => undefined);
     }
 }
--- a/packages/agent/src/lib/kv/exportMethod.ts
+++ b/packages/agent/src/lib/kv/exportMethod.ts
@@ -7,14 +7,14 @@
 /** The JSON-RPC method by which one agent fetches a KV cache from another. @internal */
 export const exportMethodName = "kv.export";
 
-/** Bytes in one piece, so that an export does not hold up the frames of other requests on the link. */
+/** Bytes in one piece. Pieces keep an export from delaying the frames of other requests on the link. */
 const pieceBytes = 1_048_576;
 
 /** @internal */
 export const exportParamsSchema = z.object({
     request: z.string(),
     epoch: z.number().int().nonnegative(),
-    /** The first byte wanted. */
+    /** Offset of the first requested byte. */
     offset: z.number().int().nonnegative(),
 });
 
@@ -22,7 +22,7 @@
 export const exportPieceSchema = z.object({
     positions: z.number().int().nonnegative(),
     known: z.number().int().nonnegative(),
-    /** Bytes in all. */
+    /** Total size in bytes. */
     size: z.number().int().nonnegative(),
     data: z.instanceof(Uint8Array),
 });
@@ -30,7 +30,7 @@
 /** A piece of an exported KV cache. @internal */
 export type ExportPiece = z.infer<typeof exportPieceSchema>;
 
-/** Answers `kv.export`. @internal */
+/** Creates the handler of `kv.export`. @internal */
 export function createExportMethod(sessions: SessionTable): RpcMethod {
     return async (params, link) => {
         if (link.peer.role !== "agent") {
@@ -38,7 +38,7 @@
         }
         const parsed = exportParamsSchema.safeParse(params);
         if (!parsed.success) {
-            return Result.err(failure(requestCodes.malformed, "kv.export needs request, epoch and offset"));
+            return Result.err(failure(requestCodes.malformed, "kv.export requires request, epoch and offset"));
         }
         const { request, epoch, offset } = parsed.data;
         const exported = await sessions.export(request, epoch);
--- a/packages/agent/src/lib/kv/importCache.test.ts
+++ b/packages/agent/src/lib/kv/importCache.test.ts
@@ -13,7 +13,7 @@
 const reference = referenceAnswer({ model: "demo", version: "1", layers: testLayers, prompt, maxTokens: 40, seed: 7 });
 const sampling = { maxTokens: 40, stop: [], seed: 7 };
 
-/** Positions that a target computed in the second attempt. */
+/** Number of positions that a target computed in the second attempt. */
 function computed(site: TestSite, target: string): number {
     const runs = site.events(target, "layers.run").filter(({ epoch }) => epoch === 1);
     return runs.reduce((sum, { count }) => sum + count, 0);
@@ -24,7 +24,7 @@
     return { count: event?.count ?? 0, from: event?.from ?? "none" };
 }
 
-/** Runs a request whose chain changes after its first attempt, which something ends after 20 tokens. */
+/** Runs a request whose first attempt is ended by `end` after 20 tokens, and which then continues on another chain. */
 async function runWithChange(
     chains: readonly (readonly string[])[],
     end: (site: TestSite) => void,
@@ -60,20 +60,20 @@
         const site = await runWithChange([["a", "b", "c"], successor], changing => leave(changing, leaving), handOver);
         for (const target of successor) {
             assert.equal(reused(site, target).from, "import", `${target} when ${leaving} leaves`);
-            assert.ok(reused(site, target).count >= known, `${target} took over ${reused(site, target).count}`);
+            assert.ok(reused(site, target).count >= known, `${target} imported ${reused(site, target).count}`);
             assert.ok(computed(site, target) <= 22, `${target} computed ${computed(site, target)}`);
         }
     }
 });
 
-test("nothing is imported when one stage holds nothing", async () => {
+test("nothing is imported if one stage cannot import", async () => {
     const site = await runWithChange([["a", "b", "c"], ["a", "e", "d"]], changing => changing.kill("c"));
     assert.equal(reused(site, "e").count, 0);
     assert.equal(reused(site, "a").count, 0);
     assert.ok(computed(site, "d") > reference.promptTokens);
 });
 
-test("an export that does not arrive in time is computed again", async () => {
+test("positions are recomputed if the export does not arrive in time", async () => {
     const hang = (changing: TestSite): void => {
         const engine = changing.targets.get("a")?.engine;
         assert.ok(engine !== undefined);
@@ -84,7 +84,7 @@
     assert.equal(reused(site, "d").count, 0);
 });
 
-test("only what both attempts know is used of one that is not the last", async () => {
+test("only positions known to both attempts are imported from an attempt before the previous one", async () => {
     const site = new TestSite();
     const { engine } = await site.start("a");
     const sessions = new SessionTable(engine, site.clock, 1000);
@@ -106,7 +106,7 @@
     const [stage] = chainOf(["a"], testLayers);
     assert.ok(stage !== undefined);
     const sources = { stages: [stage], exporters: [{ ...stage, epoch: 0 }] };
-    assert.equal(await importCache(context, await open(1, 40), sources, 0, 40), 40, "the attempt before");
+    assert.equal(await importCache(context, await open(1, 40), sources, 0, 40), 40, "from the previous attempt");
     sessions.release("r1/1", false);
-    assert.equal(await importCache(context, await open(2, 40), sources, 0, 40), 20, "an older one");
+    assert.equal(await importCache(context, await open(2, 40), sources, 0, 40), 20, "from an older attempt");
 });
--- a/packages/agent/src/lib/kv/importCache.ts
+++ b/packages/agent/src/lib/kv/importCache.ts
@@ -6,16 +6,16 @@
 import { exportMethodName, exportPieceSchema } from "./exportMethod.js";
 import { type CacheExport, type SessionRecord } from "./SessionTable.js";
 
-/** Fewer positions than this are computed again rather than imported. */
+/** Minimum number of positions to gain; fewer are recomputed rather than imported. */
 const minimumGain = 8;
 
-/** Exports larger than this are not fetched. */
+/** Maximum size of a fetched export, in bytes. */
 const maximumBytes = 268_435_456;
 
 type LayerRange = Pick<Stage, "first" | "last">;
 
-/** A KV cache from elsewhere, and the attempt it belongs to. */
-interface Found {
+/** A KV cache of an earlier attempt, and the epoch of that attempt. */
+interface FoundCache {
     readonly epoch: number;
     readonly cache: CacheExport;
 }
@@ -24,18 +24,18 @@
 export interface CacheSources {
     /** The chain of the attempt. */
     readonly stages: readonly Stage[];
-    /** Stages of earlier attempts that can export. */
+    /** Stages of earlier attempts that can export their KV cache. */
     readonly exporters: readonly Exporter[];
 }
 
 /**
- * Fills a session that holds no positions of its own yet from an earlier attempt: one of this agent, or one of another
- * agent by `kv.export`. Whatever goes wrong only means that more is computed again. Since an attempt starts behind the
- * shortest prefix of all its stages, nothing is imported unless every stage can be.
+ * Imports the KV cache of an earlier attempt into a session that has run no positions yet. The cache comes from this
+ * agent, or from another agent by `kv.export`. A failed import only means that more positions are recomputed. Since an
+ * attempt starts after the shortest cached prefix of its stages, nothing is imported unless every stage can import.
  *
- * @param cached - Positions that the session has from the prefix cache.
- * @param wanted - Positions that the session could use.
- * @returns How many positions were imported; 0 when none.
+ * @param cached - Number of positions that the session has from the prefix cache.
+ * @param wanted - Number of positions that the session can use.
+ * @returns The number of imported positions, or 0 if nothing was imported.
  * @internal
  */
 export async function importCache(
@@ -61,10 +61,11 @@
 }
 
 /**
- * The leading positions of an older attempt that hold the same tokens as the new one. Directly after it, that is all
- * that was delivered; with another attempt between them, only what both knew when they began.
+ * Returns the number of leading positions at which an earlier attempt holds the same tokens as the new one. For the
+ * attempt directly before the new one, that is everything delivered; for an older one, only what both knew when they
+ * began.
  */
-function usablePositions(found: Found, epoch: number, wanted: number): number {
+function usablePositions(found: FoundCache, epoch: number, wanted: number): number {
     const shared = found.epoch === epoch - 1 ? wanted : found.cache.known;
     return Math.min(found.cache.positions, shared, wanted);
 }
@@ -73,7 +74,7 @@
     context: AgentContext,
     record: SessionRecord,
     exporters: readonly Exporter[],
-): Promise<Found | undefined> {
+): Promise<FoundCache | undefined> {
     const own = context.sessions.findEarlier(record);
     const best = exporters
         .filter(exporter => sameRange(exporter, record) && exporter.epoch < record.epoch)
@@ -94,7 +95,7 @@
     return a.first === b.first && a.last === b.last;
 }
 
-/** Fetches an export piece by piece, within one timeout for all. */
+/** Fetches an export piece by piece, within one timeout for all pieces. */
 async function fetchCache(
     pool: LinkPool,
     clock: Clock,
