--- a/packages/agent/src/lib/load/CacheWatch.test.ts
+++ b/packages/agent/src/lib/load/CacheWatch.test.ts
@@ -8,7 +8,7 @@
 const held = [{ model: "demo", version: "1", first: 0, last: 1 }];
 const promptTokens = 64;
 
-/** A watch over a real fake engine, which runs prompts of four blocks each. */
+/** Creates a watch of a fake engine, whose prompts take four blocks each. */
 function setUp(options: Partial<FakeEngineOptions> = {}) {
     const clock = new ManualClock();
     const create = () => new FakeEngine({ clock, held, stepTime: 1, random: seededRandom(5), ...options });
@@ -37,7 +37,7 @@
     }
 }
 
-test("nothing is said before the engine has answered, nor while it hangs", async () => {
+test("reports are empty until the engine has answered, also while it hangs", async () => {
     const { site, watch, settle } = setUp();
     assert.deepEqual(watch.report(), {});
     site.engine.hang();
@@ -48,13 +48,13 @@
     assert.deepEqual(watch.report(), { cacheGeneration: 0, cacheEvicted: 0 });
 });
 
-test("evictions are reported as a share of the cache in a minute, late as the events are", async () => {
+test("evictions are reported as a share of the cache per minute, even if events are delayed", async () => {
     const { clock, watch, prompt, settle } = setUp({ cacheBlocks: 40, cacheEventDelay: 3000 });
     await settle();
     await repeat(10, prompt);
     await settle();
     assert.equal(watch.report().cacheEvicted, 0);
-    // One prompt of four blocks a second replaces a cache of 40 blocks six times a minute.
+    // One prompt of four blocks per second replaces a cache of 40 blocks six times per minute.
     await repeat(120, async () => {
         await prompt();
         await clock.advanceAsync(980, 980);
@@ -66,7 +66,7 @@
     assert.ok((watch.report().cacheEvicted ?? 1) < 0.1);
 });
 
-test("a usual share of lost events is made up for and raises no generation", async () => {
+test("a typical share of lost events is compensated and does not raise the generation", async () => {
     const { clock, watch, prompt } = setUp({ cacheBlocks: 400, cacheEventGapRate: 0.1 });
     await repeat(300, async () => {
         await prompt();
@@ -74,11 +74,11 @@
     });
     const { cacheGeneration, cacheEvicted = 0 } = watch.report();
     assert.equal(cacheGeneration, 0);
-    // Four blocks a second are 0.6 of the cache in a minute.
+    // Four blocks per second are 0.6 of the cache per minute.
     assert.ok(cacheEvicted > 0.45 && cacheEvicted < 0.75, `${cacheEvicted}`);
 });
 
-test("an engine that comes back with an empty cache raises the generation once", async () => {
+test("an engine that restarts with an empty cache raises the generation once", async () => {
     const { clock, site, watch, prompt, settle, replaceEngine } = setUp();
     await repeat(5, prompt);
     await settle();
@@ -96,7 +96,7 @@
     assert.ok(watch.report().cacheGeneration! >= 2);
 });
 
-test("an engine that restarts between two questions, and is ahead of the old one by then, is noticed", async () => {
+test("a restart between two polls is detected even if the new engine has published more events", async () => {
     const { watch, prompt, settle, replaceEngine } = setUp({ cacheEventDelay: 0 });
     await prompt();
     await settle();
@@ -106,7 +106,7 @@
     assert.equal(watch.report().cacheGeneration, 1);
 });
 
-/** A watch over an engine whose answers the test writes. */
+/** Creates a watch of an engine with scripted answers. */
 function scripted() {
     const clock = new ManualClock();
     const log: CacheEvent[] = [];
@@ -135,7 +135,7 @@
     assert.equal(watch.report().cacheGeneration, 1);
 });
 
-test("an engine that forgot the event seen last raises the generation", async () => {
+test("an engine whose log lacks the last event raises the generation", async () => {
     const { watch, log, add, poll } = scripted();
     add(1, 10);
     await poll();
@@ -144,14 +144,14 @@
     await poll();
     await poll();
     assert.equal(watch.report().cacheGeneration, 1);
-    // The beginning of the log was not seen, so the size of the cache is unknown until it is cleared.
+    // The beginning of the log was missed, so the size of the cache is unknown until it is cleared.
     assert.equal(watch.report().cacheEvicted, undefined);
     add(9010, 1, "cleared");
     await poll();
     assert.deepEqual(watch.report(), { cacheGeneration: 2, cacheEvicted: 0 });
 });
 
-test("an answer that fails is no restart, and a stopped watch asks no more", async () => {
+test("a failed poll does not count as a restart, and a stopped watch does not poll", async () => {
     const { clock, answer, watch, add, poll } = scripted();
     add(1, 10);
     await poll();
--- a/packages/agent/src/lib/load/CacheWatch.ts
+++ b/packages/agent/src/lib/load/CacheWatch.ts
@@ -2,37 +2,37 @@
 import { type Clock, type Failure, type Outcome, type Timer, transportCodes } from "@waxwingspar/utils";
 import { guarded } from "../guarded.js";
 
-/** Lost events below this number never make the cache count as unknown. */
+/** Minimum number of lost events at which the state of the cache can count as unknown. */
 const fewLostEvents = 16;
-/** The share of the cache that lost events may have touched before it counts as unknown. */
+/** The share of the cache that lost events may affect before its state counts as unknown. */
 const unknownShare = 0.25;
 /** Milliseconds over which evictions are averaged. */
 const memory = 30_000;
 const minute = 60_000;
-/** Reported shares are rounded to this, so that a report stays small. */
+/** Reported shares are rounded to multiples of 1 / precision, to keep reports small. */
 const precision = 1000;
 
 /** @internal */
 export interface CacheWatchOptions {
     readonly engine: Pick<Engine, "cacheEvents">;
     readonly clock: Clock;
-    /** Milliseconds from one answer of the engine to the next question; 0 to ask nothing. */
+    /** Milliseconds from an answer of the engine to the next poll; 0 disables polling. */
     readonly interval: number;
 }
 
-/** What load reports say of the prefix cache. @internal */
+/** The part of load reports that describes the prefix cache. @internal */
 export interface CacheReport {
-    /** Changes when the cache was cleared, or when too many events were lost to know what is left of it. */
+    /** Changes when the cache is cleared, or when too many events were lost to know its content. */
     readonly cacheGeneration?: number;
-    /** The share of the cache that is evicted in a minute. */
+    /** The share of the cache that is evicted per minute. */
     readonly cacheEvicted?: number;
 }
 
 interface EventCounts {
-    /** Blocks that were stored and evicted. */
+    /** Numbers of blocks that were stored and evicted. */
     stored: number;
     evicted: number;
-    /** Events that came and that were lost. */
+    /** Numbers of events that were received and lost. */
     seen: number;
     lost: number;
     wasCleared: boolean;
@@ -41,22 +41,22 @@
 const noEvents: Readonly<EventCounts> = { stored: 0, evicted: 0, seen: 0, lost: 0, wasCleared: false };
 
 /**
- * Follows the engine's cache events and condenses them to two numbers, since all events to all entries would be far too
- * many; docs/design/cache-feedback.md has the sum. It keeps counts alone, however large the cache is.
+ * Polls the engine's cache events and condenses them to two numbers, since sending all events to all entries would cost
+ * far too much; docs/design/cache-feedback.md has the calculation. It stores only counters, whatever the cache's size.
  *
  * @internal
  */
 export class CacheWatch {
     private generation = 0;
-    /** The last event seen. Asking for it again shows whether the engine still is the one that published it. */
+    /** The last event received. Polls include it again, which shows whether the engine has restarted since. */
     private last: CacheEvent | undefined;
-    /** False until the events so far have been read, which say nothing new: at the start and after a restart. */
+    /** False at the start and after a restart, until the backlog of events has been read, which is not a change. */
     private hasBaseline = false;
-    private wasAsked = false;
+    private hasAnswered = false;
     private wasDown = false;
-    /** Blocks in the cache as far as the events tell; undefined when their beginning was not seen. */
+    /** Number of cached blocks according to the events; undefined if their beginning was missed. */
     private held: number | undefined;
-    /** Evicted blocks in a millisecond. */
+    /** Evicted blocks per millisecond. */
     private evictionRate = 0;
     private countedAt = 0;
     private timer: Timer | undefined;
@@ -77,9 +77,9 @@
         this.timer = undefined;
     }
 
-    /** Empty until the engine has answered. */
+    /** Returns an empty report until the engine has answered. */
     report(): CacheReport {
-        if (!this.wasAsked) {
+        if (!this.hasAnswered) {
             return {};
         }
         const { generation: cacheGeneration, held } = this;
@@ -96,36 +96,36 @@
         if (this.stopped) {
             return;
         }
-        this.take(events);
+        this.handleAnswer(events);
         this.start();
     }
 
-    private take(events: Outcome<CacheEvent[]>): void {
+    private handleAnswer(events: Outcome<CacheEvent[]>): void {
         if (events.isErr) {
             this.wasDown ||= isDown(events.error);
             return;
         }
-        this.wasAsked = true;
-        if (this.wasDown || !this.isContinued(events.value)) {
+        this.hasAnswered = true;
+        if (this.wasDown || !this.isSameEventLog(events.value)) {
             this.restarted();
             return;
         }
         if (this.hasBaseline) {
-            this.follow(this.last === undefined ? events.value : events.value.slice(1));
+            this.applyEvents(this.last === undefined ? events.value : events.value.slice(1));
         }
         else {
             this.readBaseline(events.value);
         }
     }
 
-    /** True if the event seen last is there still. If it is not, the engine has restarted or far too much was lost. */
-    private isContinued([first]: readonly CacheEvent[]): boolean {
+    /** Whether the last event is still in the log. If not, the engine has restarted or too many events were lost. */
+    private isSameEventLog([first]: readonly CacheEvent[]): boolean {
         const { last } = this;
         return last === undefined
             || (first !== undefined && first.sequence === last.sequence && isSameEvent(first, last));
     }
 
-    /** The events of the new engine are read from their beginning, at the next question. */
+    /** Resets the state after a restart of the engine. The next poll reads the new log from its beginning. */
     private restarted(): void {
         this.wasDown = false;
         this.hasBaseline = false;
@@ -145,26 +145,26 @@
         }
     }
 
-    private follow(events: readonly CacheEvent[]): void {
+    private applyEvents(events: readonly CacheEvent[]): void {
         const counts = this.count(events);
         if (counts.wasCleared) {
             this.generation++;
             this.held = 0;
             this.evictionRate = 0;
         }
-        // Lost events are taken to be of the same mix as those that came.
+        // Assumes that lost events have the same distribution as received ones.
         const scale = counts.seen === 0 ? 1 : 1 + counts.lost / counts.seen;
         if (this.held !== undefined) {
             this.held = Math.max(0, this.held + (counts.stored - counts.evicted) * scale);
         }
-        this.learnRate(counts.evicted * scale);
+        this.updateEvictionRate(counts.evicted * scale);
         const lostBlocks = (counts.stored + counts.evicted) * (scale - 1);
         if (counts.lost >= fewLostEvents && lostBlocks > unknownShare * (this.held ?? 0)) {
             this.generation++;
         }
     }
 
-    /** Adds up events, from the last clearing on. */
+    /** Counts events, starting after the last one that cleared the cache. */
     private count(events: readonly CacheEvent[]): EventCounts {
         let counts = { ...noEvents };
         for (const event of events) {
@@ -182,7 +182,7 @@
         return counts;
     }
 
-    private learnRate(evicted: number): void {
+    private updateEvictionRate(evicted: number): void {
         const now = this.options.clock.now();
         const passed = now - this.countedAt;
         this.countedAt = now;
--- a/packages/agent/src/lib/load/LoadMeter.test.ts
+++ b/packages/agent/src/lib/load/LoadMeter.test.ts
@@ -8,7 +8,7 @@
 
 const bytesPerSecond = 800;
 
-/** Counts the bytes that reports would take, as the receivers see them, over one minute and so many busy links. */
+/** Counts the bytes of all reports received in one minute, given the number of links with open requests. */
 async function reportedBytes(linkCount: number): Promise<number> {
     const clock = new ManualClock();
     const queue = createWorkQueue({ clock, slots: 32 });
@@ -40,7 +40,7 @@
     return { type: "hello", protocol: 1, process: `${role}-${index}`, role, incarnation: `${index}`, dataCentre: "a" };
 }
 
-test("a few links get a report each interval", async () => {
+test("a single link gets reports at the configured interval", async () => {
     const bytes = await reportedBytes(1);
     assert.ok(bytes > 100 * 240 && bytes < 250 * 240, `${bytes}`);
 });
@@ -51,7 +51,7 @@
     assert.ok(bytes > 0);
 });
 
-test("a target that leaves tells every link at once", async () => {
+test("a leaving target is announced on every link immediately", async () => {
     const clock = new ManualClock();
     const links = new LinkWatch();
     const seen: boolean[] = [];
--- a/packages/agent/src/lib/load/LoadMeter.ts
+++ b/packages/agent/src/lib/load/LoadMeter.ts
@@ -7,7 +7,7 @@
 /** The weight of one interval in the moving average. */
 const weight = 1 / 32;
 
-/** Bytes that one report takes on a link, with the frame around it and a target name of usual length. */
+/** Approximate bytes of one report on a link, including framing and a target name of typical length. */
 const reportBytes = 200;
 
 /** @internal */
@@ -16,21 +16,21 @@
     readonly clock: Clock;
     readonly queue: WorkQueue;
     readonly links: LinkWatch;
-    /** Requests that may run at once. */
+    /** Maximum number of concurrent requests. */
     readonly slots: () => number;
-    /** What reports say of the prefix cache; nothing if absent. */
+    /** Returns the part of reports that describes the prefix cache; omitted if absent. */
     readonly cache?: () => CacheReport;
-    /** Milliseconds between two reports on a link that carries traffic, at the least. */
+    /** Minimum milliseconds between two reports on a link with open requests. */
     readonly interval: number;
     /**
-     * Bytes per second that reports on their own may take over all links. With more links each gets them less often;
-     * the reports that ride on answers cost no message of their own and are not counted.
+     * Maximum bytes per second of separate reports over all links. With more links, each gets reports less often.
+     * Reports that are part of answers need no message of their own and are not counted.
      */
     readonly bytesPerSecond: number;
 }
 
 /**
- * What the agent tells entries about its load: on each answer, and from time to time on links that carry requests.
+ * Measures the agent's load and reports it to entries: with each answer, and periodically on links with open requests.
  *
  * @internal
  */
@@ -46,7 +46,7 @@
         return this.isLeaving;
     }
 
-    /** Takes the time between two tokens of one stream, in milliseconds. */
+    /** Records the time between two tokens of one stream, in milliseconds. */
     observeInterval(duration: number): void {
         this.interval = this.interval === 0 ? duration : this.interval + (duration - this.interval) * weight;
     }
@@ -65,13 +65,13 @@
         };
     }
 
-    /** Notes that a request of this link is open here. Until it ends, the link gets reports. */
+    /** Records that a request of this link is open here. The link gets reports until the request ends. */
     begin(link: Link): void {
         this.openRequests.set(link, (this.openRequests.get(link) ?? 0) + 1);
         this.scheduleReports();
     }
 
-    /** Notes that a request of this link has ended. */
+    /** Records that a request of this link has ended. */
     end(link: Link): void {
         const left = (this.openRequests.get(link) ?? 0) - 1;
         if (left > 0) {
@@ -81,7 +81,7 @@
         this.openRequests.delete(link);
     }
 
-    /** Announces on every link that the target takes no new work. */
+    /** Announces on every link that the target accepts no new work. */
     leave(): void {
         this.isLeaving = true;
         const load = this.report();
@@ -110,7 +110,7 @@
 
     private scheduleReports(): void {
         const { clock, interval, bytesPerSecond } = this.options;
-        const paced = this.openRequests.size * reportBytes / bytesPerSecond * 1000;
-        this.timer ??= clock.schedule(() => this.sendReports(), Math.max(interval, paced));
+        const pacedInterval = this.openRequests.size * reportBytes / bytesPerSecond * 1000;
+        this.timer ??= clock.schedule(() => this.sendReports(), Math.max(interval, pacedInterval));
     }
 }
--- a/packages/agent/src/lib/load/cacheReport.test.ts
+++ b/packages/agent/src/lib/load/cacheReport.test.ts
@@ -4,7 +4,7 @@
 import { TestRun } from "../testing/TestRun.js";
 import { testLayers, TestSite } from "../testing/TestSite.js";
 
-test("answers carry the cache generation, which changes once the engine has come back empty", async () => {
+test("answers carry the cache generation, which changes after the engine restarts with an empty cache", async () => {
     const site = new TestSite(1);
     const { engine } = await site.start("a");
     const generationOf = async (request: string): Promise<number | undefined> => {
