--- a/packages/agent/src/lib/stage/EngineActivity.ts
+++ b/packages/agent/src/lib/stage/EngineActivity.ts
@@ -2,20 +2,21 @@
 import { type Clock } from "@waxwingspar/utils";
 import { guarded } from "../guarded.js";
 
-/** Milliseconds for what has arrived to be read. */
-const readTime = 1;
+/** Milliseconds to read data that has already arrived at the socket. */
+const socketReadTime = 1;
 
 /** @internal */
 export interface EngineActivityOptions {
     readonly engine: Pick<Engine, "info">;
     readonly clock: Clock;
-    /** Milliseconds in which an engine that lives answers a question. */
+    /** Milliseconds within which a live engine answers a query. */
     readonly answerTime: number;
 }
 
 /**
- * Signs of life of the engine. A step that takes long while others finish, or while the engine answers, means a busy
- * engine and not one that hangs; failing its attempts would move the load to other targets and make matters worse.
+ * Tracks whether the engine is alive. A step that takes long while other steps finish, or while the engine answers
+ * queries, indicates a busy engine and not a hung one. Failing its attempts would move the load to other targets and
+ * worsen the overload.
  *
  * @internal
  */
@@ -34,7 +35,7 @@
         return this.options.clock.now() - this.lastFinished;
     }
 
-    /** Asks the engine for a sign of life. Questions at the same time are one. */
+    /** Queries whether the engine responds. Concurrent calls share one query. */
     isAlive(): Promise<boolean> {
         this.question ??= this.ask();
         return this.question;
@@ -44,8 +45,8 @@
         const { engine, clock, answerTime } = this.options;
         const answer = guarded(() => engine.info()).then(outcome => outcome.isOk);
         const silence = new Promise<boolean>(resolve => {
-            // After a pause of this process timers run before sockets are read; the second one lets the answer in first.
-            const expire = (): void => void clock.schedule(() => resolve(false), readTime);
+            // After a pause of this process, timers run before sockets are read; a second timer lets the answer win.
+            const expire = (): void => void clock.schedule(() => resolve(false), socketReadTime);
             const timer = clock.schedule(expire, answerTime);
             void answer.then(() => timer.cancel());
         });
--- a/packages/agent/src/lib/stage/FrameOrder.ts
+++ b/packages/agent/src/lib/stage/FrameOrder.ts
@@ -1,4 +1,4 @@
-/** The part of a frame that its order depends on. */
+/** The part of a frame that determines its order. */
 interface Positions {
     readonly position: number;
     readonly count: number;
@@ -8,7 +8,7 @@
 export type FrameVerdict = "deliver" | "repeat" | "held" | "broken";
 
 /**
- * Puts frames into the order of their positions: repeats are dropped, and frames behind a gap are held, up to a limit.
+ * Orders frames by position: repeated frames are dropped, and up to a limit of frames after a gap are held back.
  *
  * @internal
  */
@@ -17,8 +17,8 @@
     private readonly held = new Map<number, Frame>();
 
     /**
-     * @param limit - Frames held at most.
-     * @param latestStart - The first frame may not start behind this position: what the KV cache already holds.
+     * @param limit - Maximum number of frames held back.
+     * @param latestStart - The latest position at which the first frame may start: the length of the cached prefix.
      */
     constructor(private readonly limit: number, private readonly latestStart: number) {}
 
@@ -32,10 +32,11 @@
     }
 
     /**
-     * Judges a frame.
+     * Classifies a frame.
      *
-     * @returns `deliver` for the next in order, after which {@link FrameOrder.takeHeld} may yield more; `broken` for one
-     * that overlaps others in part, or that exceeds the limit.
+     * @returns `deliver` for the next frame in order, after which {@link FrameOrder.takeHeld} may return more; `held`
+     * for a frame after a gap; `repeat` for a duplicate; `broken` for a frame that partly overlaps others or exceeds
+     * the limit.
      */
     accept(frame: Positions & Frame): FrameVerdict {
         if (this.next === undefined && frame.position <= this.latestStart) {
@@ -54,7 +55,7 @@
         return "deliver";
     }
 
-    /** Takes the next held frame, if it is in order now. */
+    /** Removes and returns the next held frame, if it is now in order. */
     takeHeld(): Frame | undefined {
         if (this.next === undefined) {
             return undefined;
--- a/packages/agent/src/lib/stage/StageAttempt.test.ts
+++ b/packages/agent/src/lib/stage/StageAttempt.test.ts
@@ -12,7 +12,7 @@
 const split = stages[1]?.first ?? 0;
 const tokens = tokenizeText(testPrompt);
 
-/** A head made by hand in front of one real stage, the last of its chain. */
+/** A scripted head in front of one real stage, the last of its chain. */
 class RawHead {
     readonly received: Message[] = [];
 
@@ -59,7 +59,7 @@
     }
 }
 
-/** The frames of the prompt, one for each position, as the first stage makes them. */
+/** The frames of the prompt, one for each position, as the first stage sends them. */
 async function promptFrames(epoch = 0): Promise<FrameMessage[]> {
     const site = new TestSite();
     const held = [{ model: "demo", version: "1", first: 0, last: split - 1 }];
@@ -96,7 +96,7 @@
             jitter,
         ) => {
             const sent = [...frames, ...repeats.map(index => frames[index])].filter(frame => frame !== undefined);
-            // Each frame moves back by up to three places; the first stays, since it tells where the attempt starts.
+            // Each frame is delayed by up to three places, except the first, which determines where the attempt starts.
             const places = sent.map((_, index) => index === 0 ? 0 : index + Number(jitter.next().value));
             const order = sent.map((frame, index) => ({ frame, place: places[index] ?? 0 }));
             order.sort((a, b) => a.place - b.place);
@@ -106,7 +106,7 @@
     );
 });
 
-test("gap that does not fill fails the attempt", async () => {
+test("a gap that is not filled fails the attempt", async () => {
     const head = await RawHead.create();
     const frames = await promptFrames();
     head.join();
@@ -119,7 +119,7 @@
     assert.equal(head.of("sampled").length, 0);
 });
 
-test("too many frames behind a gap fail the attempt", async () => {
+test("too many frames after a gap fail the attempt", async () => {
     const head = await RawHead.create({ heldFrames: 3, gapTimeout: 60_000 });
     const frames = await promptFrames();
     head.join();
@@ -139,7 +139,7 @@
     assert.deepEqual(head.site.events("b", "layers.run"), []);
 });
 
-test("join of an old epoch or for other layers is refused", async () => {
+test("a join of an old epoch, for another version or for another target is refused", async () => {
     const head = await RawHead.create();
     head.join({ epoch: 4 });
     await head.site.clock.advanceAsync(5, 1);
@@ -152,7 +152,7 @@
     assert.deepEqual(codes, [staleEpoch.number, wrongTarget.number, wrongTarget.number]);
 });
 
-test("loss of the head keeps the cache for a short time", async () => {
+test("the cache is retained for a short time after the loss of the head", async () => {
     const head = await RawHead.create({ retainCache: 1000 });
     const frames = await promptFrames();
     head.join();
--- a/packages/agent/src/lib/stage/StageAttempt.ts
+++ b/packages/agent/src/lib/stage/StageAttempt.ts
@@ -11,7 +11,7 @@
 import { StageSession } from "./StageSession.js";
 
 /**
- * A stage of a chain behind its head: takes frames, runs its layers, and passes the result on.
+ * An attempt at a later stage of its chain: receives frames, runs its layers, and forwards the result.
  *
  * @internal
  */
@@ -25,12 +25,12 @@
     private readonly deadline: Timer;
     private order: FrameOrder<FrameMessage> | undefined;
     private gapTimer: Timer | undefined;
-    /** Runs out when the engine does not get ready in time. */
-    private patience: Timer | undefined;
-    private previous: Link | undefined;
+    /** Expires when the engine is not ready in time. */
+    private readyTimer: Timer | undefined;
+    private previousLink: Link | undefined;
 
     /**
-     * @param message - What the head asked for.
+     * @param message - The `join` message of the head.
      * @param head - The link to the head.
      */
     constructor(
@@ -57,7 +57,7 @@
             timeouts,
         }, {
             sampled: token => this.sendSampled(token),
-            passed: work => this.grantMore(work),
+            passed: work => this.grantCredit(work),
             failed: fault => this.fail(fault),
         });
         this.span = context.tracer.startSpan("agent.stage", {
@@ -74,17 +74,17 @@
         return !this.chart.ended;
     }
 
-    /** Positions whose frames have come, and those whose result has been passed on. */
+    /** Number of positions whose frames have arrived, and of those whose result has been forwarded. */
     get progress(): { readonly taken: number; readonly passed: number; } {
         return this.session.progress;
     }
 
-    /** Opens the session and answers the head. */
+    /** Opens the engine session and reports to the head when it is ready. */
     async prepare(): Promise<void> {
         this.chart.send("start");
         this.unwatch.push(this.context.links.watch(this.head, () => this.headLost()));
         const timeout = this.timeouts.join(this.message.exporters.length > 0);
-        this.patience = this.context.clock.schedule(() => this.notReady(), timeout);
+        this.readyTimer = this.context.clock.schedule(() => this.notReady(), timeout);
         const prepared = await this.session.prepare();
         if (this.chart.ended) {
             return;
@@ -94,7 +94,7 @@
             return;
         }
         this.chart.send("ready");
-        this.patience.cancel();
+        this.readyTimer.cancel();
         const { request, epoch } = this.message;
         const { record, target, settings } = this.context;
         record({ event: "work.accepted", request, epoch, target });
@@ -102,7 +102,7 @@
         this.head.send({ type: "joined", request, epoch, target, cached: prepared.value });
     }
 
-    /** Takes a frame of this attempt. */
+    /** Handles a frame of this attempt. */
     frame(frame: FrameMessage, link: Link): void {
         if (this.chart.state !== "running" || this.order === undefined) {
             this.context.metrics.dropped?.("frame");
@@ -123,22 +123,22 @@
                 this.deliver(frame);
                 return;
             case "held":
-                this.gapTimer ??= this.context.clock.schedule(() => this.gap(), this.context.settings.gapTimeout);
+                this.gapTimer ??= this.context.clock.schedule(() => this.failOnGap(), this.context.settings.gapTimeout);
                 return;
             case "repeat":
                 this.context.metrics.dropped?.("frame");
                 return;
             case "broken":
-                this.gap();
+                this.failOnGap();
         }
     }
 
-    /** The next stage takes frames up to a position (excluded). */
+    /** Applies credit of the next stage, which accepts frames before this position. */
     grant(upTo: number): void {
         this.session.grant(upTo);
     }
 
-    /** The head no longer wants this attempt. */
+    /** Handles a cancellation by the head. */
     cancel(retain: boolean): void {
         this.end("cancel", retain);
     }
@@ -153,7 +153,7 @@
 
     handOver(): void {
         this.fail({
-            failure: failure(requestCodes.stageLost, "the target is leaving; go on elsewhere"),
+            failure: failure(requestCodes.stageLost, "the target is leaving; continue on another target"),
             target: this.context.target,
             exportable: true,
         });
@@ -170,7 +170,7 @@
             this.gapTimer.cancel();
             this.gapTimer = undefined;
             if (this.order?.waiting === true) {
-                this.gapTimer = this.context.clock.schedule(() => this.gap(), this.context.settings.gapTimeout);
+                this.gapTimer = this.context.clock.schedule(() => this.failOnGap(), this.context.settings.gapTimeout);
             }
         }
     }
@@ -180,19 +180,19 @@
         this.session.submit({ position, count, prefill, activations: data });
     }
 
-    /** Follows the link on which frames come, so that the loss of the previous stage is seen at once. */
+    /** Watches the link on which frames arrive, so that the loss of the previous stage is detected immediately. */
     private watchPrevious(link: Link): void {
-        if (this.previous === link) {
+        if (this.previousLink === link) {
             return;
         }
-        this.previous = link;
+        this.previousLink = link;
         if (link !== this.head) {
             this.unwatch.push(this.context.links.watch(link, () => this.previousLost(link)));
         }
     }
 
     private previousLost(link: Link): void {
-        if (this.previous !== link) {
+        if (this.previousLink !== link) {
             return;
         }
         const target = this.message.stages[this.message.index - 1]?.target;
@@ -211,18 +211,18 @@
         this.fail({ failure: failure(requestCodes.deadlineExceeded, "the deadline passed") });
     }
 
-    private gap(): void {
+    private failOnGap(): void {
         const target = this.message.stages[this.message.index - 1]?.target;
         const reason = `no frame for position ${this.order?.expected ?? "the start"}`;
         this.fail({ failure: failure(requestCodes.stageLost, reason), target });
     }
 
-    /** Lets the previous stage send more of the prompt. Frames of single tokens need no grant. */
-    private grantMore({ position, count, prefill }: StageWork): void {
+    /** Grants the previous stage credit for more of the prompt. Frames of single tokens need no credit. */
+    private grantCredit({ position, count, prefill }: StageWork): void {
         if (prefill) {
             const { request, epoch } = this.message;
             const upTo = position + count + this.context.settings.frameWindow;
-            this.previous?.send({ type: "credit", request, epoch, upTo });
+            this.previousLink?.send({ type: "credit", request, epoch, upTo });
         }
     }
 
@@ -261,7 +261,7 @@
         this.session.close(retain);
         this.deadline.cancel();
         this.gapTimer?.cancel();
-        this.patience?.cancel();
+        this.readyTimer?.cancel();
         this.unwatch.forEach(stop => stop());
         this.context.table.end(this.message.request, this.epoch);
         this.context.metrics.attemptEnded?.(this.chart.state);
--- a/packages/agent/src/lib/stage/StageRequests.ts
+++ b/packages/agent/src/lib/stage/StageRequests.ts
@@ -5,14 +5,13 @@
 import { StageAttempt } from "./StageAttempt.js";
 
 /**
- * Takes `join` messages: refuses what this agent must not run, and starts the rest.
+ * Handles `join` messages: refuses attempts that this agent must not run, and starts the others.
  *
  * @internal
  */
 export class StageRequests {
     constructor(private readonly context: AgentContext) {}
 
-    /** Takes a `join` message. */
     async join(message: JoinMessage, link: Link): Promise<void> {
         const { request, epoch } = message;
         const { table, metrics } = this.context;
@@ -26,7 +25,7 @@
             return;
         }
         const refusal = this.checkState(message) ?? await this.checkHeld(message);
-        // The engine may have been asked in between, and a newer attempt or the cancellation have arrived.
+        // A newer attempt or a cancellation may have arrived while the engine was queried.
         if (table.judge(request, epoch) !== "new" || !link.open) {
             return;
         }
@@ -39,7 +38,7 @@
         await attempt.prepare();
     }
 
-    /** Answers a `join` that comes after the agent has closed. */
+    /** Refuses a `join` message that arrives after the agent has closed. */
     refuseClosed(message: JoinMessage, link: Link): void {
         this.refuse(message, link, closedFailure(false));
     }
--- a/packages/agent/src/lib/stage/StageRunner.ts
+++ b/packages/agent/src/lib/stage/StageRunner.ts
@@ -6,7 +6,7 @@
 import { Watchdog } from "./Watchdog.js";
 
 /**
- * Consecutive positions that one stage is to run: tokens at the first stage, activations at the others.
+ * Consecutive positions for one stage to run: tokens at the first stage, activations at the others.
  *
  * @internal
  */
@@ -15,13 +15,13 @@
     readonly count: number;
     readonly tokens?: number[];
     readonly activations?: Uint8Array<ArrayBuffer>;
-    /** True while no token is wanted. */
+    /** True if no token is to be sampled after these positions. */
     readonly prefill: boolean;
 }
 
 /** @internal */
 export interface SampledToken {
-    /** The position in the sequence that the token takes. */
+    /** The position of the token in the sequence. */
     readonly position: number;
     readonly token: number;
     readonly text: string;
@@ -36,28 +36,28 @@
     readonly target: string;
     readonly request: string;
     readonly epoch: number;
-    /** The engine's name of the session. */
+    /** The id of the session at the engine. */
     readonly session: string;
     readonly version: string;
     readonly first: number;
     readonly last: number;
-    /** True when this stage holds the model's last layer and draws the tokens. */
-    readonly draws: boolean;
+    /** True if this stage holds the model's last layer and samples the tokens. */
+    readonly isLastStage: boolean;
     readonly activity: EngineActivity;
     readonly timeouts: Timeouts;
-    /** Runs after every step, when its result has been passed on. */
+    /** Called after every step, once its result has been forwarded. */
     readonly passed?: (work: StageWork) => void;
-    /** Passes activations to the next stage. */
+    /** Forwards activations to the next stage. */
     readonly forward: (work: StageWork, activations: Uint8Array<ArrayBuffer>) => void;
     readonly sampled: (token: SampledToken) => void;
-    /** Runs once, when the engine failed or hung. */
+    /** Called once, when the engine has failed or hung. */
     readonly failed: (failure: Failure) => void;
-    /** When it returns true, no further prompt chunk is run for now; {@link StageRunner.resume} goes on. */
+    /** Returns true to hold back further prompt chunks until {@link StageRunner.resume} is called. */
     readonly congested?: (work: StageWork) => boolean;
 }
 
 /**
- * Runs the layers of one stage for one attempt: one step at a time, in the order of positions, each under a timeout.
+ * Runs the layers of one stage for one attempt: one step at a time, in order of position, each with a timeout.
  *
  * @internal
  */
@@ -71,15 +71,15 @@
     private startedAt = 0;
 
     constructor(private readonly options: StageRunnerOptions) {
-        this.watchdog = new Watchdog(options.clock, () => void this.overdue());
+        this.watchdog = new Watchdog(options.clock, () => void this.handleOverdueStep());
     }
 
-    /** Positions of the sequence whose result has been passed on. */
+    /** Number of positions of the sequence whose result has been forwarded. */
     get passed(): number {
         return this.passedTo;
     }
 
-    /** True once a step has been given to the engine. */
+    /** True once a step has been sent to the engine. */
     get started(): boolean {
         return this.isStarted;
     }
@@ -92,7 +92,7 @@
         this.resume();
     }
 
-    /** Starts the next step, if none runs and the next stage keeps up. */
+    /** Starts the next step, if none is running and the next stage is not congested. */
     resume(): void {
         if (this.stopped || this.current !== undefined) {
             return;
@@ -105,7 +105,7 @@
         this.run(work);
     }
 
-    /** Drops what waits and ignores the result of the running step. The owner closes the engine's session. */
+    /** Discards waiting steps and ignores the result of the running one. The owner closes the engine's session. */
     stop(): void {
         this.stopped = true;
         this.waiting.length = 0;
@@ -113,13 +113,13 @@
     }
 
     private run(work: StageWork): void {
-        const { engine, session, draws, timeouts, clock } = this.options;
+        const { engine, session, isLastStage, timeouts, clock } = this.options;
         this.current = work;
         this.isStarted = true;
         this.startedAt = clock.now();
         this.watchdog.expect(timeouts.step(work.count));
         const { position, count, tokens, activations } = work;
-        engine.step({ session, position, count, tokens, activations, sample: draws && !work.prefill }).then(
+        engine.step({ session, position, count, tokens, activations, sample: isLastStage && !work.prefill }).then(
             outcome => this.finished(work, outcome),
             (error: unknown) => this.fail(failure(requestCodes.engineFailed, `engine call failed: ${String(error)}`)),
         );
@@ -146,9 +146,9 @@
     }
 
     private deliver(work: StageWork, result: StepResult): void {
-        if (!this.options.draws) {
+        if (!this.options.isLastStage) {
             if (result.activations === undefined) {
-                this.fail(failure(requestCodes.engineFailed, "the engine gave no activations"));
+                this.fail(failure(requestCodes.engineFailed, "the engine returned no activations"));
                 return;
             }
             this.options.forward(work, result.activations);
@@ -158,7 +158,7 @@
             return;
         }
         if (result.token === undefined) {
-            this.fail(failure(requestCodes.engineFailed, "the engine drew no token"));
+            this.fail(failure(requestCodes.engineFailed, "the engine sampled no token"));
             return;
         }
         const { token, text = "", end = false } = result;
@@ -171,8 +171,8 @@
         record({ event: "layers.run", request, epoch, target, version, first, last, position, count });
     }
 
-    /** The step has taken too long. While the engine shows signs of life it is only busy, up to a limit. */
-    private async overdue(): Promise<void> {
+    /** Handles a step that exceeds its timeout. While the engine is alive, the step gets more time, up to a limit. */
+    private async handleOverdueStep(): Promise<void> {
         const work = this.current;
         if (work === undefined) {
             return;
--- a/packages/agent/src/lib/stage/StageSession.ts
+++ b/packages/agent/src/lib/stage/StageSession.ts
@@ -9,11 +9,11 @@
 import { type Timeouts } from "../modelLimits.js";
 import { type SampledToken, StageRunner, type StageWork } from "./StageRunner.js";
 
-/** Milliseconds after which a congested link is looked at again. */
+/** Milliseconds after which a congested link is checked again. */
 const congestionPoll = 5;
 
 /**
- * What a stage must know of its attempt.
+ * The parameters of an attempt at one stage.
  *
  * @internal
  */
@@ -28,7 +28,7 @@
     readonly stages: readonly Stage[];
     /** The index of this stage. */
     readonly index: number;
-    /** The tokens of the prompt and of earlier attempts' answer, when known. */
+    /** The tokens of the prompt and those produced by earlier attempts, if known. */
     readonly tokens?: readonly number[];
     readonly exporters: readonly Exporter[];
     readonly timeouts: Timeouts;
@@ -36,17 +36,17 @@
 
 /** @internal */
 export interface StageEvents {
-    /** The last stage has drawn a token. */
+    /** Called when the last stage has sampled a token. */
     readonly sampled: (token: SampledToken) => void;
-    /** Positions have run here. */
+    /** Called when a step has completed here. */
     readonly passed?: (work: StageWork) => void;
-    /** Runs once, when this stage cannot go on. */
+    /** Called once, when this stage cannot continue. */
     readonly failed: (fault: ChainFault) => void;
 }
 
 /**
- * One stage of an attempt at the engine: its session, the order of its steps, and the link to the next stage. The head
- * and later stages both have one.
+ * One stage of an attempt: its engine session, the order of its steps, and the link to the next stage. Used at the head
+ * and at later stages.
  *
  * @internal
  */
@@ -62,7 +62,7 @@
     private cached = 0;
     private imported = false;
     private taken = 0;
-    /** The next stage takes frames up to this position, and up to the window behind the first. */
+    /** The next stage accepts frames before this position, and frames within the window after the first position. */
     private granted = 0;
     private firstPosition: number | undefined;
 
@@ -80,26 +80,26 @@
         this.session = `${plan.request}/${plan.epoch}`;
     }
 
-    /** True once a step has been given to the engine. */
+    /** True once a step has been sent to the engine. */
     get started(): boolean {
         return this.runner?.started === true;
     }
 
-    /** Positions that have been submitted, and those whose result has been passed on. */
+    /** Number of positions that have been submitted, and of those whose result has been forwarded. */
     get progress(): { readonly taken: number; readonly passed: number; } {
         return { taken: this.taken, passed: this.runner?.passed ?? 0 };
     }
 
     /**
-     * Opens the session, connects to the next stage, and takes over what is cached.
+     * Opens the session, connects to the next stage, and imports cached positions.
      *
-     * @returns How many leading positions the session holds.
+     * @returns The number of leading positions that the session has cached.
      */
     async prepare(): Promise<Result<number, ChainFault>> {
         const [connected, opened] = await Promise.all([this.connectNext(), this.open()]);
         if (this.closed) {
             this.dropSession(false);
-            return Result.err({ failure: failure(requestCodes.cancelled, "ended while it was prepared") });
+            return Result.err({ failure: failure(requestCodes.cancelled, "the attempt ended during preparation") });
         }
         if (connected.isErr) {
             return Result.err(connected.error);
@@ -121,7 +121,7 @@
         this.runner?.submit(work);
     }
 
-    /** The next stage takes frames up to a position (excluded). */
+    /** Applies credit of the next stage, which accepts frames before this position. */
     grant(upTo: number): void {
         if (upTo > this.granted) {
             this.granted = upTo;
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Stops and frees the engine. Closing twice is harmless.
+     * Stops running and releases the engine session. Idempotent.
      *
-     * @param retain - True when the KV cache should stay for the next attempt.
+     * @param retain - True to keep the KV cache for the next attempt.
      */
     close(retain: boolean): void {
         if (this.closed) {
@@ -236,7 +236,7 @@
             version: plan.version,
             first: stage.first,
             last: stage.last,
-            draws: this.nextStage === undefined,
+            isLastStage: this.nextStage === undefined,
             timeouts: plan.timeouts,
             passed: work => this.events.passed?.(work),
             forward: (work, activations) => this.forward(work, activations),
@@ -253,7 +253,7 @@
         this.next?.send({ type: "frame", request, epoch, position, count, layer, prefill, data });
     }
 
-    /** Whether the next stage, or the link to it, is too far behind for another chunk of the prompt. */
+    /** Whether the next stage, or the link to it, is too far behind to send another chunk of the prompt. */
     private congested(work: StageWork): boolean {
         if (this.next === undefined) {
             return false;
@@ -261,7 +261,7 @@
         const { frameWindow, linkHighWater } = this.context.settings;
         const granted = Math.max(this.granted, (this.firstPosition ?? 0) + frameWindow);
         if (work.position >= granted) {
-            // The next grant goes on with it. Chunks larger than the window pass one at a time.
+            // The next grant of credit resumes the runner. Chunks larger than the window are sent one at a time.
             return true;
         }
         if (this.next.queuedBytes < linkHighWater) {
--- a/packages/agent/src/lib/stage/Watchdog.ts
+++ b/packages/agent/src/lib/stage/Watchdog.ts
@@ -1,8 +1,8 @@
 import { type Clock, type Timer } from "@waxwingspar/utils";
 
 /**
- * A timeout that is set and cleared for every token. It keeps one timer and moves only its own deadline, because
- * scheduling a timer for each token would cost more than the rest of the agent's work on it.
+ * A timeout that is set and cleared for every token. It reuses one timer and only moves its deadline, since scheduling
+ * a timer for each token would cost more than the rest of the agent's work on the token.
  *
  * @internal
  */
@@ -13,7 +13,7 @@
 
     constructor(private readonly clock: Clock, private readonly expired: () => void) {}
 
-    /** Starts to wait; replaces an earlier deadline. */
+    /** Starts or restarts the timeout, in milliseconds. */
     expect(timeout: number): void {
         this.deadline = this.clock.now() + timeout;
         if (this.timer === undefined || this.timerDue > this.deadline) {
@@ -21,12 +21,12 @@
         }
     }
 
-    /** Ends the wait; nothing expires until the next {@link Watchdog.expect}. */
+    /** Clears the timeout; nothing expires until the next {@link Watchdog.expect}. */
     clear(): void {
         this.deadline = undefined;
     }
 
-    /** Drops the timer as well. */
+    /** Clears the timeout and cancels the timer. */
     stop(): void {
         this.deadline = undefined;
         this.timer?.cancel();
