--- a/packages/agent/src/bench/DirectLink.ts
+++ b/packages/agent/src/bench/DirectLink.ts
@@ -4,7 +4,7 @@
 import { benchHello, benchLayers } from "./benchAgent.js";
 
 /**
- * One end of a link that hands messages over in the next microtask, without codec and sockets.
+ * One end of an in-process link that delivers messages in the next microtask, without a codec or sockets.
  *
  * @internal
  */
@@ -21,7 +21,7 @@
     }
 
     request(): Promise<Result<unknown, Failure>> {
-        return Promise.resolve(Result.err(failure(transportCodes.noSuchMethod, "none here")));
+        return Promise.resolve(Result.err(failure(transportCodes.noSuchMethod, "a direct link has no methods")));
     }
 
     onMessage(handler: (message: Message) => void): void {
@@ -29,15 +29,15 @@
     }
 
     onClose(): void {
-        // It never closes.
+        // A direct link never closes.
     }
 
     close(): void {
-        // It never closes.
+        // A direct link never closes.
     }
 }
 
-/** A link between an agent and a peer: the agent's end and the peer's. @internal */
+/** Creates a link between an agent and a peer. Returns the agent's end and the peer's end. @internal */
 export function directPair(peer: string, role: "entry" | "agent"): [DirectLink, DirectLink] {
     const own = new DirectLink(benchHello(peer, role));
     const other = new DirectLink(benchHello("head", "agent"));
@@ -46,7 +46,7 @@
     return [own, other];
 }
 
-/** The last stage of the chain: draws a token at once. @internal */
+/** Simulates the last stage of the chain, which samples each token immediately. @internal */
 export function answerFrames(link: DirectLink): void {
     link.onMessage(message => {
         if (message.type === "join") {
@@ -61,7 +61,7 @@
     });
 }
 
-/** A request that asks for a long answer. @internal */
+/** Creates an `open` message for an answer of a given number of tokens. @internal */
 export function benchOpen(request: string, tokens: number, credit = tokens): OpenMessage {
     const stage = { host: "127.0.0.1", port: 1 };
     return {
--- a/packages/agent/src/bench/InstantEngine.ts
+++ b/packages/agent/src/bench/InstantEngine.ts
@@ -9,13 +9,13 @@
 import { type Outcome } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 
-/** Bytes of the activations of one position. */
+/** Size of the activations of one position, in bytes. */
 const activationBytes = 16_384;
 
 const activations = new Uint8Array(activationBytes);
 
 /**
- * An engine that answers at once and computes nothing, so that what is measured is the agent's own work.
+ * An engine that answers immediately and computes nothing, so that benchmarks measure only the agent's own work.
  *
  * @internal
  */
--- a/packages/agent/src/bench/benchAgent.ts
+++ b/packages/agent/src/bench/benchAgent.ts
@@ -7,17 +7,17 @@
 import { type AgentSettings } from "../lib/AgentSettings.js";
 import { lateMethods } from "../lib/lateMethods.js";
 
-/** Layers of the model of the bench. @internal */
+/** Number of layers of the benchmark model. @internal */
 export const benchLayers = 12;
 
-/** Plaintext on loopback. @internal */
+/** Plaintext connections, for the loopback address only. @internal */
 export const benchCredentials = { insecure: true } as const;
 
 /** @internal */
 export interface BenchAgentOptions {
     readonly name: string;
     readonly engine: Engine;
-    /** The port of an agent that is started again; a free one by default. */
+    /** The port to listen on, for restarting an agent; a free port by default. */
     readonly port?: number;
     readonly incarnation?: number;
     readonly settings?: Partial<AgentSettings>;
@@ -27,7 +27,7 @@
 export interface BenchAgent {
     readonly agent: Agent;
     readonly port: number;
-    /** Closes every link at once, as the kernel does for a process that dies. */
+    /** Closes all links at the same moment, as the kernel does when a process dies. */
     readonly kill: () => Promise<void>;
 }
 
--- a/packages/agent/src/bench/directCost.ts
+++ b/packages/agent/src/bench/directCost.ts
@@ -8,9 +8,9 @@
 import { answerFrames, benchOpen, directPair } from "./DirectLink.js";
 import { InstantEngine } from "./InstantEngine.js";
 
-// Measures what the agent itself spends on each token: links hand messages over as they are, without codec and sockets,
-// and the engine answers at once. The other end of the links costs a little too; a run without an agent tells how much.
-// Prints one line of JSON with the median and the least of several rounds.
+// Measures the agent's own processor time per token: links deliver message objects directly, without codec and sockets,
+// and the engine answers immediately. The peers cost a little too; a run without an agent measures their share.
+// Prints one line of JSON with the median and the minimum of several rounds.
 //
 // node packages/agent/dist/bench/directCost.js [ROUNDS]
 
@@ -59,7 +59,7 @@
     await agent.close();
 }
 
-/** The same messages and engine calls without an agent: what the peers and the engine cost. */
+/** Exchanges the same messages and engine calls without an agent, to measure the cost of the peers and the engine. */
 async function runWithoutAgent(): Promise<void> {
     const engine = new InstantEngine(0, 5, benchLayers);
     const [toLast, last] = directPair("last", "agent");
@@ -105,6 +105,7 @@
     });
 }
 
+/** Returns the processor time of a run per token, in microseconds. */
 async function cost(run: () => Promise<void>): Promise<number> {
     const before = process.cpuUsage();
     await run();
--- a/packages/agent/src/bench/memoryUse.ts
+++ b/packages/agent/src/bench/memoryUse.ts
@@ -20,7 +20,7 @@
 const streams = 4000;
 const promptLength = 2000;
 
-/** An id as it comes out of a decoded message: one flat string, not the parts of which a fresh id is made. */
+/** Creates an id as a decoded message contains it: a flat string instead of a concatenation of parts. */
 function flatId(): string {
     return Buffer.from(uniqueId()).toString("latin1");
 }
@@ -30,7 +30,7 @@
     return process.memoryUsage().heapUsed;
 }
 
-/** Bytes for each of the things that a function makes; what it returns keeps them alive. */
+/** Returns the bytes per object that `make` creates. The object it returns must keep all of them reachable. */
 async function bytesEach(count: number, make: () => Promise<object>): Promise<number> {
     const before = heapUsed();
     const kept = await make();
@@ -65,7 +65,7 @@
     return Promise.resolve(table);
 }
 
-/** Opens streams whose callers have taken one token and no more. */
+/** Opens streams whose callers have accepted one token and grant no further credit. */
 async function openStreams(): Promise<object> {
     const [toLast, last] = directPair("last", "agent");
     answerFrames(last);
--- a/packages/agent/src/bench/peers.ts
+++ b/packages/agent/src/bench/peers.ts
@@ -4,21 +4,21 @@
 import { benchOpen } from "./DirectLink.js";
 import { InstantEngine } from "./InstantEngine.js";
 
-/** What the measured process tells the process of its peers. @internal */
+/** The message from the measured process to the peer process. @internal */
 export interface PeerTask {
-    /** Which stage of the three the measured agent is. */
+    /** The stage of the measured agent in a chain of three. */
     readonly role: "head" | "middle" | "last";
     readonly port: number;
     readonly streams: number;
     readonly tokens: number;
 }
 
-/** What the process of the peers tells the measured one. @internal */
+/** A message from the peer process to the measured process. @internal */
 export type PeerReport = { readonly kind: "ready"; } | { readonly kind: "started"; } | { readonly kind: "ended"; };
 
 const ranges = { head: [0, 3], middle: [4, 7], last: [8, 11] } as const;
 
-/** Runs the entry and the other two agents, and streams many answers at once. */
+/** Runs the entry and the other two agents, and streams many answers concurrently. */
 async function run({ role, port, streams, tokens }: PeerTask): Promise<void> {
     const stages: Stage[] = [];
     for (const name of ["head", "middle", "last"] as const) {
@@ -32,7 +32,7 @@
     const [head] = stages;
     assert(head !== undefined && stages.at(-1)?.last === benchLayers - 1);
     const link = await pool.connect({ host: head.host, port: head.port });
-    assert(link.isOk, "the head takes a link");
+    assert(link.isOk, "the head accepts a link");
     let started = 0;
     let ended = 0;
     const seen = new Set<string>();
--- a/packages/agent/src/bench/recoveryTime.ts
+++ b/packages/agent/src/bench/recoveryTime.ts
@@ -5,9 +5,9 @@
 import { TestRun } from "../lib/testing/TestRun.js";
 import { type BenchAgent, benchCredentials, benchHello, benchLayers, startBenchAgent } from "./benchAgent.js";
 
-// Measures how long a stream stands still when a target of its chain is lost, for each way to go on. Agents with fake
-// engines and an entry talk over real sockets on the loopback address, on the system's clock, in one process. Prints one
-// line of JSON for each way.
+// Measures how long a stream stalls when a target of its chain is lost, in several scenarios. Agents with fake engines
+// and an entry communicate over real sockets on the loopback address, on the system's clock, in one process. Prints
+// one line of JSON for each scenario.
 //
 // node packages/agent/dist/bench/recoveryTime.js [TRIALS]
 
@@ -17,20 +17,20 @@
 const tokensBefore = 20;
 const tokensAfter = 10;
 const model = { model: "demo", version: "1" };
-/** One batch of an engine takes this, and this for each further position, in milliseconds. */
+/** The time of one engine batch, and of each further position in it, in milliseconds. */
 const engineTimes = { stepTime: 5, prefillTokenTime: 0.05 };
 
 type Event = "kill" | "hang" | "leave" | "restart";
 
-interface Way {
+interface Scenario {
     readonly name: string;
     readonly event: Event;
     readonly victim: string;
-    /** True when every engine has run the prompt before, in the chain that takes over. */
+    /** True if the chain that takes over has the prompt in its prefix caches. */
     readonly warm: boolean;
 }
 
-const ways: readonly Way[] = [
+const scenarios: readonly Scenario[] = [
     { name: "stage dies, prompt runs again", event: "kill", victim: "b", warm: false },
     { name: "stage dies, prompt in the prefix caches", event: "kill", victim: "b", warm: true },
     { name: "head dies, prompt in the prefix caches", event: "kill", victim: "a", warm: true },
@@ -74,7 +74,7 @@
         }));
     }
 
-    async bringAbout(event: Event, victim: string): Promise<void> {
+    async triggerEvent(event: Event, victim: string): Promise<void> {
         const agent = this.agents.get(victim);
         assert(agent !== undefined);
         switch (event) {
@@ -105,20 +105,20 @@
 }
 
 interface Trial {
-    /** The longest time between two tokens around the event, in milliseconds. */
+    /** The longest interval between two tokens around the event, in milliseconds. */
     readonly gap: number;
-    /** The median time between two tokens otherwise, in milliseconds. */
+    /** The median interval between two tokens before the event, in milliseconds. */
     readonly interval: number;
 }
 
-async function runTrial(way: Way, trial: number): Promise<Trial> {
+async function runTrial(scenario: Scenario, trial: number): Promise<Trial> {
     const site = new Site();
     await Promise.all(names.map(name => site.start(name)));
     const first = ["a", "b", "c"];
-    const second = way.event === "restart" ? first : first.map(name => name === way.victim ? "d" : name);
-    const prompt = `${trial}${way.name}${" pump".repeat(words)}`;
+    const second = scenario.event === "restart" ? first : first.map(name => name === scenario.victim ? "d" : name);
+    const prompt = `${trial}${scenario.name}${" pump".repeat(words)}`;
     const seed = findSeed(prompt);
-    if (way.warm) {
+    if (scenario.warm) {
         await runThrough(site, second, prompt, "warm");
     }
     const sampling = { maxTokens: tokensBefore + tokensAfter, stop: [], seed };
@@ -127,21 +127,21 @@
         request: "measured",
         choose: (_, epoch) => site.chain(epoch === 0 ? first : second),
         changes: { prompt, sampling },
-        retryDelay: way.event === "restart" ? 5 : 0,
+        retryDelay: scenario.event === "restart" ? 5 : 0,
     });
     await until(() => run.ids.length >= tokensBefore);
     const before = run.ids.length;
-    await site.bringAbout(way.event, way.victim);
+    await site.triggerEvent(scenario.event, scenario.victim);
     await until(() => run.outcome !== undefined);
     const expected = referenceAnswer({ ...model, layers: benchLayers, prompt, ...sampling });
-    assert(run.outcome === "completed" && run.text === expected.text, `${way.name}: the answer is whole`);
-    assert(run.epoch > 0, `${way.name}: the first attempt ended`);
+    assert(run.outcome === "completed" && run.text === expected.text, `${scenario.name}: the answer is complete`);
+    assert(run.epoch > 0, `${scenario.name}: the first attempt ended`);
     await site.close();
     const gaps = run.times.slice(1).map((time, index) => time - (run.times[index] ?? 0));
     return { gap: Math.max(...gaps.slice(before - 2, before + 3)), interval: quantile(gaps.slice(0, before - 2), 0.5) };
 }
 
-/** Runs a short answer to the prompt, which leaves the prompt in the prefix caches. */
+/** Runs a short answer to the prompt, which adds the prompt to the prefix caches. */
 async function runThrough(site: Site, targets: readonly string[], prompt: string, request: string): Promise<void> {
     const stages = site.chain(targets);
     const sampling = { maxTokens: 1, stop: [], seed: 1 };
@@ -149,7 +149,7 @@
     await until(() => run.outcome !== undefined);
 }
 
-/** The fake model ends some answers early; this finds a seed with which it does not. */
+/** Returns a seed with which the fake model's answer has the full length, since it ends some answers early. */
 function findSeed(prompt: string): number {
     const maxTokens = tokensBefore + tokensAfter;
     for (let seed = 0;; seed++) {
@@ -162,7 +162,7 @@
 async function until(condition: () => boolean): Promise<void> {
     const deadline = performance.now() + 20_000;
     while (!condition()) {
-        assert(performance.now() < deadline, "it happened in time");
+        assert(performance.now() < deadline, "the condition is met within 20 s");
         await new Promise(resolve => setTimeout(resolve, 1));
     }
 }
@@ -177,15 +177,15 @@
 }
 
 const trials = Number(process.argv[2] ?? defaultTrials);
-for (const way of ways) {
+for (const scenario of scenarios) {
     const results: Trial[] = [];
     for (let trial = 0; trial < trials; trial++) {
-        results.push(await runTrial(way, trial));
+        results.push(await runTrial(scenario, trial));
     }
     const gaps = results.map(({ gap }) => gap);
     const interval = quantile(results.map(result => result.interval), 0.5);
     const figures = {
-        way: way.name,
+        way: scenario.name,
         trials,
         medianGap: round(quantile(gaps, 0.5)),
         p95Gap: round(quantile(gaps, 0.95)),
--- a/packages/agent/src/bench/tokenCost.ts
+++ b/packages/agent/src/bench/tokenCost.ts
@@ -5,8 +5,8 @@
 import { InstantEngine } from "./InstantEngine.js";
 import { type PeerReport, type PeerTask } from "./peers.js";
 
-// Measures the processor time that one agent spends on each token, over real sockets on the loopback address: the agent
-// runs alone in this process, its peers in another one. Prints one line of JSON for each role.
+// Measures the processor time of one agent per token, over real sockets on the loopback address. The agent runs alone
+// in this process, and its peers run in another one. Prints one line of JSON for each role.
 //
 // node packages/agent/dist/bench/tokenCost.js [STREAMS] [TOKENS]
 
@@ -20,13 +20,13 @@
     readonly streams: number;
     readonly tokens: number;
     readonly tokensPerSecond: number;
-    /** Processor time of this process for each token, in microseconds, user and system together. */
+    /** User and system processor time of this process per token, in microseconds. */
     readonly microsecondsPerToken: number;
-    /** The same without the part that the kernel spends on sockets. */
+    /** User processor time alone, without the kernel's work on sockets. */
     readonly userMicrosecondsPerToken: number;
 }
 
-/** Waits for a report of the peers. */
+/** Waits for a report of the given kind from the peer process. */
 async function reportOf(peers: ReturnType<typeof fork>, kind: PeerReport["kind"]): Promise<void> {
     for (;;) {
         const [report] = await once(peers, "message") as [PeerReport];
@@ -50,7 +50,7 @@
     const used = process.cpuUsage(before);
     const seconds = (performance.now() - startedAt) / 1000;
     peers.kill();
-    // Every stream has had its first token before the measurement began.
+    // Every stream received its first token before the measurement began.
     const measured = streams * (tokens - 1);
     return {
         role,
@@ -62,7 +62,7 @@
     };
 }
 
-/** What a step of the instant engine costs by itself, in microseconds. */
+/** Returns the processor time of one step of the instant engine, in microseconds. */
 async function engineCost(steps: number): Promise<number> {
     const engine = new InstantEngine(0, 3, benchLayers);
     const step = { session: "s", position: 0, count: 1, tokens: [1], sample: false };
