--- a/packages/agent/src/lib/Agent.ts
+++ b/packages/agent/src/lib/Agent.ts
@@ -22,7 +22,7 @@
 import { createContext } from "./createContext.js";
 import { Drain } from "./Drain.js";
 import { closedFailure, noService, toWire } from "./faults.js";
-import { FollowAttempt } from "./head/FollowAttempt.js";
+import { DuplicateAttempt } from "./head/DuplicateAttempt.js";
 import { HeadAttempt } from "./head/HeadAttempt.js";
 import { HeadRequests } from "./head/HeadRequests.js";
 import { createExportMethod, exportMethodName } from "./kv/exportMethod.js";
@@ -320,7 +320,7 @@
             }
             return;
         }
-        if (attempt instanceof HeadAttempt || attempt instanceof FollowAttempt) {
+        if (attempt instanceof HeadAttempt || attempt instanceof DuplicateAttempt) {
             attempt.credit(upTo);
         }
     }
@@ -336,7 +336,7 @@
             attempt.cancel(retain);
             return;
         }
-        if (attempt instanceof FollowAttempt) {
+        if (attempt instanceof DuplicateAttempt) {
             attempt.cancel();
             return;
         }
--- a/packages/agent/src/lib/head/FollowAttempt.ts
+++ b/packages/agent/src/lib/head/DuplicateAttempt.ts
@@ -6,7 +6,7 @@
  *
  * @internal
  */
-export class FollowAttempt implements Attempt {
+export class DuplicateAttempt implements Attempt {
     readonly uses = undefined;
 
     constructor(readonly epoch: number, private readonly stream: EntryStream) {}
--- a/packages/agent/src/lib/head/HeadRequests.ts
+++ b/packages/agent/src/lib/head/HeadRequests.ts
@@ -4,8 +4,8 @@
 import { type AnswerClaims, type AnswerRecord, followWith, RecordSink } from "../claims/AnswerRecord.js";
 import { type ClaimUse } from "../claims/ClaimTable.js";
 import { closedFailure, toWire } from "../faults.js";
+import { DuplicateAttempt } from "./DuplicateAttempt.js";
 import { EntryStream } from "./EntryStream.js";
-import { FollowAttempt } from "./FollowAttempt.js";
 import { HeadAttempt } from "./HeadAttempt.js";
 
 interface StreamHandlers {
@@ -168,7 +168,7 @@
                 this.context.table.end(message.request, message.epoch);
             },
         });
-        this.context.table.begin(message.request, new FollowAttempt(message.epoch, stream));
+        this.context.table.begin(message.request, new DuplicateAttempt(message.epoch, stream));
         following.stop = record.follow(followWith(stream), message.produced.length);
     }
 
--- a/packages/agent/src/lib/head/TokenWait.ts
+++ b/packages/agent/src/lib/head/TokenWait.ts
@@ -4,7 +4,7 @@
 import { type Timeouts } from "../modelLimits.js";
 import { type StageState, stageStateSchema, stateMethodName } from "../stage/stateMethod.js";
 import { Watchdog } from "../stage/Watchdog.js";
-import { type BlockingStage, findBlockingStage } from "./judgeSilence.js";
+import { type BlockingStage, findBlockingStage } from "./findBlockingStage.js";
 import { type LaterStage } from "./LaterStages.js";
 
 /** @internal */
