--- a/packages/engine/src/lib/FakeEngine.test.ts
+++ b/packages/engine/src/lib/FakeEngine.test.ts
@@ -20,7 +20,7 @@
 const prompt = "The brake of forklift 7 squeals after rain; what should I check first, and in which order?";
 const answerTokens = 6;
 
-/** An engine whose batches take no time, so that a test needs no clock to move. */
+/** Creates an engine whose batches complete instantly, so that tests need not advance the clock. */
 function instantEngine(options: Partial<FakeEngineOptions> = {}): FakeEngine {
     return new FakeEngine({
         clock: new ManualClock(),
@@ -56,7 +56,7 @@
     return outcome.isErr ? outcome.error.code.number : undefined;
 }
 
-/** Runs tokens through a chain of stages and returns the last result. */
+/** Runs tokens through a chain of stages and returns the result of the last stage. */
 async function runChain(engine: Engine, stages: StageRange[], position: number, tokens: number[]): Promise<StepResult> {
     let result: StepResult = {};
     for (const [index, stage] of stages.entries()) {
@@ -93,7 +93,7 @@
     return referenceAnswer({ model, version, layers, prompt, maxTokens: answerTokens }).tokens;
 }
 
-test("any split into stages gives the reference answer", async () => {
+test("any split of the layers into stages gives the reference answer", async () => {
     const cuts = fc.uniqueArray(fc.integer({ min: 1, max: layers - 1 }), { maxLength: 4 });
     await fc.assert(fc.asyncProperty(cuts, async points => {
         const starts = [0, ...points.sort((a, b) => a - b)];
@@ -118,7 +118,7 @@
 
 test("prompt, version, adapter and seed change the answer", () => {
     const base = { model, version: "1", layers, prompt, maxTokens: answerTokens };
-    // The second prompt differs only in its first word, which later positions see through the KV cache alone.
+    // The second prompt differs only in its first word, which reaches later positions only through the KV cache.
     const variants = [
         base,
         { ...base, prompt: prompt.replace("The", "One") },
@@ -134,7 +134,7 @@
     assert.equal(new Set(texts).size, variants.length);
 });
 
-test("a gap or a repeat of a position fails and changes nothing", async () => {
+test("a step that skips or repeats a position fails and leaves the session unchanged", async () => {
     const engine = instantEngine();
     const whole = { first: 0, last: layers - 1 };
     unwrap(await engine.open(sessionOf(whole)));
@@ -148,7 +148,7 @@
     assert.equal((await runChain(engine, [whole], tokens.length, [first])).token, second);
 });
 
-test("a batch takes the highest priorities first, up to its slots", async () => {
+test("a batch takes the steps with the highest priorities, up to the number of slots", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, slots: 2, stepTime: 10 });
     const priorities = [1, 0, 5, 1, 3];
@@ -169,7 +169,7 @@
     assert.deepEqual(done, [2, 4, 0, 3, 1]);
 });
 
-test("the prefix cache reuses whole blocks and keeps the answer", async () => {
+test("the prefix cache reuses complete blocks without changing the answer", async () => {
     const engine = instantEngine();
     const long = Array.from({ length: 50 }, (_, index) => `word${index}`).join(" ");
     const tokens = tokenizeText(long);
@@ -178,7 +178,7 @@
     const { token } = await runChain(engine, [whole], 0, tokens);
     await engine.close("0-11");
     assert.equal(unwrap(await engine.open(sessionOf(whole, { tokens }))).cached, 48);
-    // A head may start earlier than this stage's cache ends, since another stage has less.
+    // The first step may start before the end of this stage's cached prefix, since another stage may have cached less.
     assert.equal((await runChain(engine, [whole], 37, tokens.slice(37))).token, token);
     assert.equal(
         unwrap(await engine.open(sessionOf(whole, { session: "block", tokens: tokens.slice(0, 32) }))).cached,
@@ -188,7 +188,7 @@
     assert.equal(unwrap(await engine.open(sessionOf(whole, { session: "other", tokens: other }))).cached, 16);
 });
 
-test("the prefix cache evicts what was used longest ago, and events come late and with gaps", async () => {
+test("the prefix cache evicts the least recently used blocks, and its events are delayed and have gaps", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, cacheBlocks: 2, cacheEventDelay: 100, cacheEventGapRate: 0.4 });
     const whole = { first: 0, last: layers - 1 };
@@ -214,7 +214,7 @@
     assert.deepEqual(unwrap(await engine.cacheEvents(middle)), events.slice(6));
 });
 
-test("an exported KV cache continues on another engine", async () => {
+test("another engine can continue from an exported KV cache", async () => {
     const [from, to] = [instantEngine(), instantEngine()];
     const whole = { first: 0, last: layers - 1 };
     const tokens = tokenizeText(prompt);
@@ -235,7 +235,7 @@
     return { id, fence, action: { kind: "load", model, version: id, first: 0, last: 3, bytes } };
 }
 
-test("a load takes time and memory, and the same order twice is one", async () => {
+test("a load takes time and memory, and a repeated order takes effect once", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, memory: 100, loadRate: 50 });
     const both = Promise.all([engine.order(loadOrder("a", 75)), engine.order(loadOrder("a", 75))]);
@@ -255,7 +255,7 @@
     unwrap(await second);
 });
 
-test("adapters and role decide what is served", async () => {
+test("the engine serves only sessions that its adapters and role allow", async () => {
     const engine = instantEngine();
     const session = sessionOf({ first: 0, last: 3 }, { adapter: "parts" });
     assert.equal(codeOf(await engine.open(session)), requestCodes.wrongTarget.number);
@@ -268,7 +268,7 @@
     assert.equal(codeOf(await engine.open(sessionOf({ first: 4, last: 5 }))), requestCodes.wrongTarget.number);
 });
 
-test("only an engine that checks fences refuses an old one", async () => {
+test("only an engine that checks fencing tokens refuses an outdated one", async () => {
     for (const checksFence of [true, false]) {
         const engine = instantEngine({ checksFence, loadRate: Infinity });
         const role = (id: string, fence: number, name: "serving" | "idle") => (
@@ -283,7 +283,7 @@
     }
 });
 
-test("a hang holds every call, a crash fails them and loses the sessions", async () => {
+test("a hang suspends every call; a crash fails all calls and drops the sessions", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, stepTime: 10 });
     const whole = { first: 0, last: layers - 1 };
@@ -320,14 +320,14 @@
     const step = engine.step({ session: "0-1", position: 0, count: 1, tokens: [1], sample: true });
     await settle();
     await engine.close("0-1");
-    // Another session under the same name must not get the old step either.
+    // A new session with the same ID must not receive the step either.
     unwrap(await engine.open(sessionOf({ first: 0, last: 1 })));
     await clock.advanceAsync(10, 10);
     assert.equal(codeOf(await step), requestCodes.cancelled.number);
     assert.equal(unwrap(await engine.exportCache("0-1")).positions, 0);
 });
 
-test("a load that is under way or held already is joined and takes its memory once", async () => {
+test("a load of layers that are already loading or loaded takes no further memory", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, memory: 100, loadRate: 50 });
     const load = (id: string, first: number, last: number): Order => (
@@ -343,7 +343,7 @@
     assert.deepEqual([held, info.freeMemory], [[[0, 3]], 25]);
 });
 
-test("a slow engine takes longer, a closed session frees its slot, load figures lag", async () => {
+test("a slowed engine takes longer, a closed session frees its slot, and the reported load lags", async () => {
     const clock = new ManualClock();
     const engine = instantEngine({ clock, slots: 1, stepTime: 10, loadLag: 100 });
     engine.slow(4);
--- a/packages/engine/src/lib/FakeEngine.ts
+++ b/packages/engine/src/lib/FakeEngine.ts
@@ -33,33 +33,33 @@
  */
 export interface FakeEngineOptions {
     readonly clock: Clock;
-    /** Decides which cache events are lost. */
+    /** Determines which cache events are lost. */
     readonly random?: Random;
-    /** What the engine holds from its start. */
+    /** The layers that the engine holds initially. */
     readonly held?: readonly InitialLayers[];
-    /** The most steps in one batch. */
+    /** The maximum number of steps in one batch. */
     readonly slots?: number;
-    /** What every batch takes, in milliseconds. */
+    /** Base duration of a batch in milliseconds. */
     readonly stepTime?: number;
-    /** What each step adds to its batch, in milliseconds. */
+    /** Milliseconds that each step adds to its batch. */
     readonly itemTime?: number;
-    /** What each position beyond the first of a step adds to its batch, in milliseconds. */
+    /** Milliseconds that each position after the first of a step adds to its batch. */
     readonly prefillTokenTime?: number;
-    /** Divides every duration of a batch. */
+    /** Speed-up factor: the duration of every batch is divided by it. */
     readonly speed?: number;
-    /** Whether an order with an old fencing number is refused. */
+    /** Whether orders with an outdated fencing token are refused. */
     readonly checksFence?: boolean;
-    /** Blocks of 16 tokens that the prefix cache holds. */
+    /** Capacity of the prefix cache in blocks of 16 tokens. */
     readonly cacheBlocks?: number;
     /** Bytes of memory for weights. */
     readonly memory?: number;
-    /** Bytes of weights that are loaded in a second. */
+    /** Bytes of weights loaded per second. */
     readonly loadRate?: number;
-    /** How old load figures are, in milliseconds. */
+    /** Age of the reported load in milliseconds. */
     readonly loadLag?: number;
-    /** Milliseconds until a cache event can be read. */
+    /** Milliseconds before a cache event becomes readable. */
     readonly cacheEventDelay?: number;
-    /** The share of cache events that are lost, from 0 to 1. */
+    /** Fraction of cache events that are lost, from 0 to 1. */
     readonly cacheEventGapRate?: number;
 }
 
@@ -88,11 +88,11 @@
 }
 
 /**
- * A deterministic engine for tests, benchmarks and first use. It computes no language, but its tokens depend on every
- * layer, position, token and version in their order, so that a caller who knows the prompt can check the whole answer
- * with {@link referenceAnswer}.
+ * A deterministic engine for tests, benchmarks and first use. It runs no language model, but each token depends on
+ * every layer, position, token and version in their order, so that a caller who knows the prompt can verify the whole
+ * answer with {@link referenceAnswer}.
  *
- * The methods {@link FakeEngine.hang}, {@link FakeEngine.slow} and {@link FakeEngine.crash} bring about faults.
+ * The methods {@link FakeEngine.hang}, {@link FakeEngine.slow} and {@link FakeEngine.crash} inject faults.
  *
  * @public
  */
@@ -104,13 +104,13 @@
     private readonly events: EventLog;
     private readonly loads: LoadLog;
     private readonly weights: WeightMemory;
-    private factor = 1;
-    private crashed = false;
-    /** Calls that wait while the engine hangs. */
-    private hanging: (() => void)[] | undefined;
+    private slowdownFactor = 1;
+    private hasCrashed = false;
+    /** Resumes the calls suspended by a hang; undefined unless the engine hangs. */
+    private suspendedCalls: (() => void)[] | undefined;
 
     constructor(options: FakeEngineOptions) {
-        this.options = { ...defaults, random: seededRandom(1), ...definedOnly(options) };
+        this.options = { ...defaults, random: seededRandom(1), ...omitUndefined(options) };
         const { clock, slots } = this.options;
         this.queue = new BatchQueue({
             clock,
@@ -141,7 +141,7 @@
     }
 
     open(session: Session): Promise<Outcome<{ cached: number; }>> {
-        return this.answer(() => this.openNow(session));
+        return this.answer(() => this.openSession(session));
     }
 
     async step(step: Step): Promise<Outcome<StepResult>> {
@@ -151,7 +151,7 @@
 
     async close(session: string): Promise<void> {
         await this.answer(() => {
-            this.closeNow(session);
+            this.closeSession(session);
             return Result.ok(undefined);
         });
     }
@@ -165,7 +165,7 @@
     }
 
     load(): Promise<Outcome<EngineLoad>> {
-        return this.answer(() => Result.ok(this.loads.report(() => this.figures())));
+        return this.answer(() => Result.ok(this.loads.report(() => this.measureLoad())));
     }
 
     cacheEvents(after: number): Promise<Outcome<CacheEvent[]>> {
@@ -177,32 +177,32 @@
         return taken.isErr ? Result.err(taken.error) : taken.value.result;
     }
 
-    /** Lets every call, and every batch that runs, wait until {@link FakeEngine.resume}. */
+    /** Suspends every call and the running batch until {@link FakeEngine.resume}. */
     hang(): void {
-        this.hanging ??= [];
+        this.suspendedCalls ??= [];
         this.queue.pause();
     }
 
-    /** Ends a hang: what waited goes on in its order. */
+    /** Ends a hang and resumes the suspended calls in their order. */
     resume(): void {
-        const waiting = this.hanging ?? [];
-        this.hanging = undefined;
+        const waiting = this.suspendedCalls ?? [];
+        this.suspendedCalls = undefined;
         waiting.forEach(proceed => proceed());
         this.queue.resume();
     }
 
     /**
-     * Makes batches slower, from the next one on.
+     * Slows down all batches that start from now on.
      *
-     * @param factor - What every duration is multiplied by; 1 restores the usual speed.
+     * @param factor - The factor by which batch durations are multiplied; 1 restores the normal speed.
      */
     slow(factor: number): void {
-        this.factor = factor;
+        this.slowdownFactor = factor;
     }
 
-    /** Loses every session and the prefix cache; steps under way fail, and so does every call until a restart. */
+    /** Drops all sessions and the prefix cache. Steps in flight fail, and so does every call until a restart. */
     crash(): void {
-        this.crashed = true;
+        this.hasCrashed = true;
         this.sessions.clear();
         this.cache.clear();
         for (const item of this.queue.clear()) {
@@ -211,48 +211,48 @@
         this.resume();
     }
 
-    /** Comes back after a crash, with the weights it held. */
+    /** Restarts the engine after a crash; the loaded weights are kept. */
     restart(): void {
-        this.crashed = false;
+        this.hasCrashed = false;
     }
 
-    /** Answers a call, unless the engine hangs or has crashed. */
+    /** Runs a call, after a hang has ended; fails if the engine has crashed. */
     private async answer<T>(call: () => Outcome<T>): Promise<Outcome<T>> {
-        if (this.hanging !== undefined) {
-            const { hanging } = this;
-            await new Promise<void>(resolve => hanging.push(resolve));
+        if (this.suspendedCalls !== undefined) {
+            const { suspendedCalls } = this;
+            await new Promise<void>(resolve => suspendedCalls.push(resolve));
         }
-        if (this.crashed) {
-            return Result.err(failure(transportCodes.notConnected, "the engine is down"));
+        if (this.hasCrashed) {
+            return Result.err(failure(transportCodes.notConnected, "the engine has crashed and was not restarted"));
         }
         return call();
     }
 
-    private openNow(session: Session): Outcome<{ cached: number; }> {
+    private openSession(session: Session): Outcome<{ cached: number; }> {
         if (!this.weights.serves(session)) {
             const wanted = `${session.model} ${session.version} layers ${session.first} to ${session.last}`;
-            return Result.err(failure(requestCodes.wrongTarget, `${wanted} cannot be served here`));
+            return Result.err(failure(requestCodes.wrongTarget, `this engine cannot serve ${wanted}`));
         }
         if (this.sessions.has(session.session)) {
-            return engineFailure(`session ${session.session} is open already`);
+            return engineFailure(`session ${session.session} is already open`);
         }
         const opened = new FakeSession(session, this.cache);
         this.sessions.set(session.session, opened);
         return Result.ok({ cached: opened.reusePrefix() });
     }
 
-    // The pending result is wrapped, so that `answer` does not wait for it while it waits for the engine.
+    // The promise is wrapped in an object, since `answer` would otherwise wait for the step to end.
     private submit(step: Step): Outcome<{ result: Promise<Outcome<StepResult>>; }> {
         return this.withSession(step.session, session => {
             const result = new Promise<Outcome<StepResult>>(finish => {
                 this.queue.submit({ step, session, priority: session.session.priority, count: step.count, finish });
             });
-            this.loads.record(() => this.figures());
+            this.loads.record(() => this.measureLoad());
             return Result.ok({ result });
         });
     }
 
-    private closeNow(session: string): void {
+    private closeSession(session: string): void {
         this.sessions.delete(session);
         for (const item of this.queue.remove(({ step }) => step.session === session)) {
             item.finish(cancelled(session));
@@ -261,13 +261,13 @@
 
     private withSession<T>(name: string, use: (session: FakeSession) => Outcome<T>): Outcome<T> {
         const session = this.sessions.get(name);
-        return session === undefined ? engineFailure(`there is no session ${name}`) : use(session);
+        return session === undefined ? engineFailure(`session ${name} is not open`) : use(session);
     }
 
     private batchTime(items: readonly StepItem[]): number {
         const { stepTime, itemTime, prefillTokenTime, speed } = this.options;
         const extraTokens = items.reduce((sum, item) => sum + item.count - 1, 0);
-        return (stepTime + items.length * itemTime + extraTokens * prefillTokenTime) / speed * this.factor;
+        return (stepTime + items.length * itemTime + extraTokens * prefillTokenTime) / speed * this.slowdownFactor;
     }
 
     private completeBatch(items: readonly StepItem[]): void {
@@ -275,18 +275,18 @@
             const open = this.sessions.get(step.session) === session;
             finish(open ? session.run(step) : cancelled(step.session));
         }
-        this.loads.record(() => this.figures());
+        this.loads.record(() => this.measureLoad());
     }
 
     private dropSessions(model: string, version: string): void {
         for (const [name, { session }] of this.sessions) {
             if (session.model === model && session.version === version) {
-                this.closeNow(name);
+                this.closeSession(name);
             }
         }
     }
 
-    private figures(): Omit<EngineLoad, "age"> {
+    private measureLoad(): Omit<EngineLoad, "age"> {
         let blocks = this.cache.size;
         for (const session of this.sessions.values()) {
             blocks += Math.ceil(session.positions / blockTokens);
@@ -304,7 +304,7 @@
     return Result.err(failure(requestCodes.cancelled, `session ${session} was closed`));
 }
 
-/** Drops the options that are set to undefined, so that they do not hide a default. */
-function definedOnly(options: FakeEngineOptions): FakeEngineOptions {
+/** Removes options that are set to undefined, since they would override a default when spread. */
+function omitUndefined(options: FakeEngineOptions): FakeEngineOptions {
     return Object.fromEntries(Object.entries(options).filter(([, value]) => value !== undefined)) as never;
 }
--- a/packages/engine/src/lib/fake/BatchQueue.ts
+++ b/packages/engine/src/lib/fake/BatchQueue.ts
@@ -2,26 +2,26 @@
 
 /** @internal */
 export interface BatchItem {
-    /** Higher goes first. */
+    /** Items with a higher priority are batched first. */
     readonly priority: number;
-    /** How many positions the item covers. */
+    /** The number of positions that the item covers. */
     readonly count: number;
 }
 
 /** @internal */
 export interface BatchQueueOptions<Item extends BatchItem> {
     readonly clock: Clock;
-    /** The most items in one batch. */
+    /** The maximum number of items in one batch. */
     readonly slots: number;
-    /** How long a batch takes, in milliseconds. */
+    /** Returns the duration of a batch in milliseconds. */
     readonly duration: (items: readonly Item[]) => number;
-    /** Ends a batch. */
+    /** Called with the items of a batch when it ends. */
     readonly complete: (items: readonly Item[]) => void;
 }
 
 /**
- * Continuous batching: what is submitted while a batch runs goes into the next one, higher priority first and then in
- * the order of submission.
+ * Continuous batching: items submitted while a batch runs go into the next one, by descending priority and then in
+ * order of submission.
  *
  * @internal
  */
@@ -29,7 +29,7 @@
     private waiting: Item[] = [];
     private batch: Item[] = [];
     private timer: Timer | undefined;
-    private startPlanned = false;
+    private isStartScheduled = false;
     private paused = false;
 
     constructor(private readonly options: BatchQueueOptions<Item>) {}
@@ -44,17 +44,17 @@
 
     submit(item: Item): void {
         this.waiting.push(item);
-        this.planStart();
+        this.scheduleStart();
     }
 
-    /** Takes out the items that are not in a running batch and for which a condition holds. */
+    /** Removes and returns the waiting items that meet a condition; items of the running batch stay. */
     remove(condition: (item: Item) => boolean): Item[] {
         const removed = this.waiting.filter(condition);
         this.waiting = this.waiting.filter(item => !condition(item));
         return removed;
     }
 
-    /** Takes out every item, also those of the running batch, which then never completes. */
+    /** Removes and returns every item, including those of the running batch, which then never completes. */
     clear(): Item[] {
         this.timer?.cancel();
         this.timer = undefined;
@@ -64,31 +64,31 @@
         return removed;
     }
 
-    /** Lets no batch end or start until {@link BatchQueue.resume}. */
+    /** Prevents batches from starting or ending until {@link BatchQueue.resume}. */
     pause(): void {
         this.paused = true;
         this.timer?.cancel();
         this.timer = undefined;
     }
 
-    /** Goes on after a pause; a batch that was running ends at once. */
+    /** Resumes after a pause; a batch that was running when the pause began ends immediately. */
     resume(): void {
         this.paused = false;
         if (this.batch.length > 0) {
             this.endBatch();
             return;
         }
-        this.planStart();
+        this.scheduleStart();
     }
 
-    /** Starts a batch once the current turn of the event loop has submitted all it has. */
-    private planStart(): void {
-        if (this.startPlanned || this.batch.length > 0) {
+    /** Schedules the start of a batch as a microtask, so that items submitted together share it. */
+    private scheduleStart(): void {
+        if (this.isStartScheduled || this.batch.length > 0) {
             return;
         }
-        this.startPlanned = true;
+        this.isStartScheduled = true;
         queueMicrotask(() => {
-            this.startPlanned = false;
+            this.isStartScheduled = false;
             this.startBatch();
         });
     }
@@ -97,7 +97,7 @@
         if (this.paused || this.batch.length > 0 || this.waiting.length === 0) {
             return;
         }
-        // The sort is stable, so that items of one priority keep their order.
+        // The sort is stable: items with the same priority keep their order.
         const sorted = this.waiting.sort((a, b) => b.priority - a.priority);
         this.batch = sorted.slice(0, this.options.slots);
         this.waiting = sorted.slice(this.options.slots);
@@ -115,7 +115,7 @@
         this.batch = [];
         this.options.complete(batch);
         if (this.waiting.length > 0) {
-            this.planStart();
+            this.scheduleStart();
         }
     }
 }
--- a/packages/engine/src/lib/fake/EventLog.ts
+++ b/packages/engine/src/lib/fake/EventLog.ts
@@ -1,20 +1,21 @@
 import { type Clock, type Random } from "@waxwingspar/utils";
 import { type CacheEvent } from "../Engine.js";
 
-const eventsKept = 4096;
+/** The log is trimmed to this many events once it holds twice as many. */
+const retainedEvents = 4096;
 
 /** @internal */
 export interface EventLogOptions {
     readonly clock: Clock;
     readonly random: Random;
-    /** Milliseconds until an event can be read. */
+    /** Milliseconds before an event becomes readable. */
     readonly delay: number;
-    /** The share of events that are lost, from 0 to 1. */
+    /** Fraction of events that are lost, from 0 to 1. */
     readonly gapRate: number;
 }
 
 /**
- * Cache events that come late, with gaps.
+ * A log of cache events that become readable after a delay; some are lost, which leaves gaps in the sequence numbers.
  *
  * @internal
  */
@@ -31,8 +32,8 @@
         }
         const readableAt = this.options.clock.now() + this.options.delay;
         this.events.push({ event: { sequence: this.sequence, ...event }, readableAt });
-        if (this.events.length > 2 * eventsKept) {
-            this.events = this.events.slice(-eventsKept);
+        if (this.events.length > 2 * retainedEvents) {
+            this.events = this.events.slice(-retainedEvents);
         }
     }
 
--- a/packages/engine/src/lib/fake/FakeSession.ts
+++ b/packages/engine/src/lib/fake/FakeSession.ts
@@ -8,8 +8,10 @@
 import { blockHashes } from "./blockHashes.js";
 import { blockTokens, type PrefixCache } from "./PrefixCache.js";
 
+/** The number of 32-bit words that the activations of one position take. */
 const wordsPerPosition = activationBytes / Uint32Array.BYTES_PER_ELEMENT;
-const firstCapacity = 64;
+/** The number of positions that a new session has room for. */
+const initialCapacity = 64;
 
 const exportSchema = z.object({
     model: z.string(),
@@ -22,7 +24,7 @@
 });
 
 /**
- * One sequence in the fake engine: the keys of its layers for every position so far.
+ * A session of the fake engine: one token sequence with a KV cache, which holds one key per position and layer.
  *
  * @internal
  */
@@ -30,30 +32,30 @@
     private readonly stack: LayerStack;
     private readonly blocks: readonly string[];
     private keys: Uint32Array;
-    /** How many leading positions have keys. */
+    /** The number of leading positions whose keys are in the KV cache. */
     private held = 0;
-    private started = false;
-    /** How many whole prompt blocks have been offered to the prefix cache. */
+    private hasRun = false;
+    /** The number of complete prompt blocks that were read from the prefix cache or written to it. */
     private storedBlocks = 0;
 
     constructor(readonly session: Session, private readonly cache: PrefixCache) {
         this.stack = new LayerStack(session, session.first, session.last);
-        this.keys = new Uint32Array(this.stack.depth * firstCapacity);
+        this.keys = new Uint32Array(this.stack.depth * initialCapacity);
         this.blocks = blockHashes(session, session.tokens ?? []).map(hash =>
             `${hash}:${session.first}-${session.last}`
         );
     }
 
-    /** How many leading positions have keys. */
+    /** The number of leading positions whose keys are in the KV cache. */
     get positions(): number {
         return this.held;
     }
 
     /**
-     * Takes over the leading blocks of the prompt that the prefix cache has. The last token of the prompt is always
-     * left to be computed, since the first token of the answer is drawn from it.
+     * Copies the leading blocks of the prompt from the prefix cache. The last token of the prompt is never taken from
+     * the cache, since the first token of the answer is sampled from its output.
      *
-     * @returns How many positions they cover.
+     * @returns The number of positions that these blocks cover.
      */
     reusePrefix(): number {
         const promptTokens = this.session.tokens?.length ?? 0;
@@ -77,9 +79,10 @@
             return Result.err(checked.error);
         }
         const activations = checked.value;
-        // The first step may start inside what is held already: the rest is dropped, as from a real KV cache.
+        // The first step may start before the end of the cached prefix; the positions after it are dropped, as by a
+        // real engine.
         this.held = step.position;
-        this.started = true;
+        this.hasRun = true;
         this.reserve(step.position + step.count);
         for (let index = 0; index < step.count; index++) {
             const position = step.position + index;
@@ -105,19 +108,21 @@
     }
 
     import(data: Uint8Array): Outcome<{ positions: number; }> {
-        if (this.started) {
-            return engineFailure(`session ${this.session.session} has run already and takes no import`);
+        if (this.hasRun) {
+            return engineFailure(`session ${this.session.session} has already run a step and cannot import a KV cache`);
         }
         const parsed = exportSchema.safeParse(unpackOrUndefined(data));
         if (!parsed.success) {
-            return engineFailure("the imported KV cache cannot be read");
+            return engineFailure("the imported KV cache could not be decoded");
         }
         const imported = parsed.data;
         const { model, version, adapter, first, last } = this.session;
         const same = imported.model === model && imported.version === version && imported.adapter === adapter
             && imported.first === first && imported.last === last;
         if (!same || imported.keys.length !== imported.positions * this.stack.depth * Uint32Array.BYTES_PER_ELEMENT) {
-            return engineFailure("the imported KV cache is of another model, version or layer range");
+            return engineFailure(
+                "the imported KV cache has another model, version, adapter, layer range or length",
+            );
         }
         this.reserve(imported.positions);
         this.keys.set(toWords(imported.keys), 0);
@@ -125,21 +130,23 @@
         return Result.ok({ positions: imported.positions });
     }
 
-    /** Checks a step against what the session holds, and returns its input. */
+    /** Validates a step against the state of the session, and returns its input activations. */
     private check(step: Step): Outcome<Uint32Array<ArrayBuffer>> {
         const name = `session ${this.session.session}`;
-        const inOrder = this.started ? step.position === this.held : step.position <= this.held;
+        const inOrder = this.hasRun ? step.position === this.held : step.position <= this.held;
         if (!inOrder) {
-            return engineFailure(`${name} expects position ${this.held} but got ${step.position}`);
+            return engineFailure(`${name} expected position ${this.held} but got ${step.position}`);
         }
         if (this.session.first === 0) {
             if (step.tokens?.length !== step.count || step.activations !== undefined) {
-                return engineFailure(`${name} holds layer 0 and needs one token for each of ${step.count} positions`);
+                return engineFailure(
+                    `${name} starts at layer 0 and expects one token for each of ${step.count} positions`,
+                );
             }
             return Result.ok(new Uint32Array(step.count * wordsPerPosition));
         }
         if (step.activations?.length !== step.count * activationBytes || step.tokens !== undefined) {
-            return engineFailure(`${name} needs the activations of ${step.count} positions`);
+            return engineFailure(`${name} expects the activations of ${step.count} positions`);
         }
         return Result.ok(toWords(step.activations));
     }
@@ -148,7 +155,7 @@
         if (!step.sample) {
             return { activations: new Uint8Array(activations.buffer) };
         }
-        const drawn = this.stack.draw(activations, (step.count - 1) * wordsPerPosition, this.session.seed);
+        const drawn = this.stack.sampleToken(activations, (step.count - 1) * wordsPerPosition, this.session.seed);
         return { token: drawn.token, text: tokenText(drawn.token), end: drawn.end };
     }
 
@@ -163,7 +170,7 @@
         }
     }
 
-    /** Makes room for the keys of a number of positions. */
+    /** Ensures capacity for the keys of a number of positions. */
     private reserve(positions: number): void {
         const needed = positions * this.stack.depth;
         if (needed <= this.keys.length) {
@@ -189,7 +196,7 @@
     }
 }
 
-/** Copies bytes into words. A `Buffer` may be a view at an odd offset, and its own `slice` does not copy. */
+/** Copies bytes into 32-bit words: a `Buffer` may be an unaligned view, and its `slice` method does not copy. */
 function toWords(bytes: Uint8Array): Uint32Array<ArrayBuffer> {
     return new Uint32Array(new Uint8Array(bytes).buffer);
 }
--- a/packages/engine/src/lib/fake/LoadLog.ts
+++ b/packages/engine/src/lib/fake/LoadLog.ts
@@ -3,29 +3,29 @@
 
 type Figures = Omit<EngineLoad, "age">;
 
-/** How many figures are kept over the time of the lag. */
-const resolution = 10;
+/** The number of samples recorded within one lag. */
+const samplesPerLag = 10;
 
 /**
- * Load figures that are reported with a lag.
+ * Records load samples and reports them with a lag.
  *
  * @internal
  */
 export class LoadLog {
     private entries: { readonly time: number; readonly figures: Figures; }[] = [];
 
-    /** @param lag - How old the reported figures are, in milliseconds. */
+    /** @param lag - Age of the reported sample in milliseconds. */
     constructor(private readonly clock: Clock, private readonly lag: number) {}
 
-    /** Takes the present figures, unless the last ones are recent enough. */
+    /** Records the current load, unless the last sample is recent enough. */
     record(measure: () => Figures): void {
         const time = this.clock.now();
         const last = this.entries.at(-1);
-        if (last !== undefined && time - last.time < this.lag / resolution) {
+        if (last !== undefined && time - last.time < this.lag / samplesPerLag) {
             return;
         }
         this.entries.push({ time, figures: measure() });
-        this.dropOld(time);
+        this.dropOutdated(time);
     }
 
     report(measure: () => Figures): EngineLoad {
@@ -34,7 +34,7 @@
             return { ...measure(), age: 0 };
         }
         this.record(measure);
-        this.dropOld(now);
+        this.dropOutdated(now);
         const oldest = this.entries[0];
         if (oldest === undefined || now - oldest.time < this.lag) {
             return { running: 0, waiting: 0, cacheUse: 0, age: this.lag };
@@ -42,8 +42,8 @@
         return { ...oldest.figures, age: now - oldest.time };
     }
 
-    /** Keeps the newest entry that is as old as the lag, and all behind it. */
-    private dropOld(now: number): void {
+    /** Drops the entries older than the newest one that has reached the age of the lag. */
+    private dropOutdated(now: number): void {
         while (this.entries[1] !== undefined && now - this.entries[1].time >= this.lag) {
             this.entries.shift();
         }
--- a/packages/engine/src/lib/fake/PrefixCache.ts
+++ b/packages/engine/src/lib/fake/PrefixCache.ts
@@ -1,10 +1,10 @@
 import { type CacheEvent } from "../Engine.js";
 
-/** How many tokens one block of the prefix cache holds. @public */
+/** The number of tokens in a block of the prefix cache. @public */
 export const blockTokens = 16;
 
 /**
- * Whole blocks of keys, by the hash of the prefix that each block ends, with the least recently used evicted first.
+ * An LRU cache of complete blocks of keys. The key of an entry is the hash of the prefix up to the end of its block.
  *
  * @internal
  */
@@ -12,8 +12,8 @@
     private readonly blocks = new Map<string, Uint32Array>();
 
     /**
-     * @param capacity - How many blocks fit.
-     * @param publish - Takes each change.
+     * @param capacity - The maximum number of blocks.
+     * @param publish - Called with an event for each change.
      */
     constructor(
         private readonly capacity: number,
@@ -24,7 +24,7 @@
         return this.blocks.size;
     }
 
-    /** The keys of a block, which counts as a use of it. */
+    /** Returns the keys of a block and marks it as the most recently used. */
     get(hash: string): Uint32Array | undefined {
         const keys = this.blocks.get(hash);
         if (keys !== undefined) {
@@ -34,7 +34,7 @@
         return keys;
     }
 
-    /** Stores a copy of a block's keys, and evicts others to make room. */
+    /** Stores a copy of the keys of a block, and evicts the least recently used blocks if the cache is full. */
     put(hash: string, keys: Uint32Array): void {
         if (this.capacity === 0 || this.get(hash) !== undefined) {
             return;
--- a/packages/engine/src/lib/fake/WeightMemory.ts
+++ b/packages/engine/src/lib/fake/WeightMemory.ts
@@ -11,10 +11,10 @@
 import { Result } from "true-myth";
 import { type EngineInfo, type HeldLayers, type Order, type Session } from "../Engine.js";
 
-/** Layers that a fake engine holds from its start, and what they take. @public */
+/** Layers that a fake engine holds initially. @public */
 export interface InitialLayers extends Omit<HeldLayers, "adapters"> {
     readonly adapters?: readonly string[];
-    /** Bytes of memory; 0 unless told otherwise. */
+    /** Bytes of memory that the layers occupy; 0 by default. */
     readonly bytes?: number;
 }
 
@@ -23,18 +23,18 @@
     readonly clock: Clock;
     readonly held: readonly InitialLayers[];
     readonly memory: number;
-    /** Bytes of weights that are loaded in a second. */
+    /** Bytes of weights loaded per second. */
     readonly loadRate: number;
     readonly checksFence: boolean;
-    /** Called when a version leaves the memory. */
+    /** Called when a version has been unloaded. */
     readonly unloaded: (model: string, version: string) => void;
 }
 
-interface Loaded extends HeldLayers {
+interface LoadedLayers extends HeldLayers {
     bytes: number;
 }
 
-interface Loading {
+interface PendingLoad {
     readonly action: LoadAction;
     readonly outcome: Promise<Outcome<void>>;
 }
@@ -46,15 +46,15 @@
 const done: Outcome<void> = Result.ok<void, Failure>(undefined);
 
 /**
- * The weights that a fake engine holds, and the orders that change them.
+ * The weight memory of a fake engine. It executes the orders that change weights, adapters and role.
  *
  * @internal
  */
 export class WeightMemory {
-    private readonly loaded: Loaded[];
+    private readonly loaded: LoadedLayers[];
     private readonly orders = new Map<string, Promise<Outcome<void>>>();
-    /** Loads under way. */
-    private readonly loading = new Set<Loading>();
+    /** Loads in progress. */
+    private readonly loading = new Set<PendingLoad>();
     private role: EngineInfo["role"] = "serving";
     private highestFence: number | undefined;
 
@@ -79,7 +79,7 @@
         };
     }
 
-    /** Whether a session can run here. */
+    /** Whether the engine's role, layers and adapters allow a session. */
     serves(session: Session): boolean {
         return this.role !== "idle"
             && this.loaded.some(held =>
@@ -104,7 +104,7 @@
         const outcome = this.apply(order.action);
         this.orders.set(order.id, outcome);
         void outcome.then(result => {
-            // A refused order may be repeated once there is room for it.
+            // A failed order may be retried, for example once enough memory is free.
             if (result.isErr) {
                 this.orders.delete(order.id);
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Loads layers, unless they are held already; joins a load of them that is under way. */
+    /** Loads layers, unless they are already held; joins a load in progress that covers them. */
     private load(action: LoadAction): Promise<Outcome<void>> {
         const { model, version, bytes } = action;
         if (this.loaded.some(held => matches(held, model, version) && covers(held, action))) {
@@ -145,10 +145,10 @@
             return joined.outcome;
         }
         if (bytes > this.freeMemory()) {
-            const message = `${bytes} bytes do not fit into ${this.freeMemory()} free ones`;
+            const message = `the layers need ${bytes} bytes of memory but only ${this.freeMemory()} are free`;
             return Promise.resolve(Result.err(failure(resourceCodes.insufficientCapacity, message)));
         }
-        const loading: Loading = { action, outcome: this.finishLoad(action, () => this.loading.delete(loading)) };
+        const loading: PendingLoad = { action, outcome: this.finishLoad(action, () => this.loading.delete(loading)) };
         this.loading.add(loading);
         return loading.outcome;
     }
--- a/packages/engine/src/lib/fake/blockHashes.ts
+++ b/packages/engine/src/lib/fake/blockHashes.ts
@@ -3,8 +3,8 @@
 import { blockTokens } from "./PrefixCache.js";
 
 /**
- * The hashes of the whole blocks of a prompt, as they appear in cache events. Each covers the model, its version, the
- * adapter and all tokens up to the end of its block.
+ * Returns the hashes of the complete blocks of a prompt, as they appear in cache events. Each hash covers the model,
+ * its version, the adapter and all tokens up to the end of its block.
  *
  * @public
  */
--- a/packages/engine/src/lib/model/hash.ts
+++ b/packages/engine/src/lib/model/hash.ts
@@ -2,10 +2,10 @@
 const secondMultiplier = 0x1b873593;
 
 /**
- * Folds a number into a running 32-bit hash (the round of MurmurHash3). The order of the numbers matters.
+ * Mixes a number into a running 32-bit hash (the round function of MurmurHash3). The order of the numbers matters.
  *
  * @param hash - The hash so far.
- * @param value - The number to fold in; its lowest 32 bits count.
+ * @param value - The number to mix in; only its lowest 32 bits are used.
  * @returns The new hash, as an unsigned number.
  * @internal
  */
@@ -19,7 +19,7 @@
 }
 
 /**
- * Ends a running hash, so that every bit of it depends on every bit folded in (the finaliser of MurmurHash3).
+ * Finalises a running hash, so that every bit depends on every bit mixed in (the finaliser of MurmurHash3).
  *
  * @internal
  */
@@ -34,8 +34,8 @@
 /**
  * Hashes a text.
  *
- * @param text - The text; its UTF-16 code units count.
- * @param seed - Another seed gives another hash of the same text.
+ * @param text - The text, hashed by its UTF-16 code units.
+ * @param seed - Different seeds give different hashes of the same text.
  * @internal
  */
 export function hashText(text: string, seed = 0): number {
--- a/packages/engine/src/lib/model/referenceAnswer.ts
+++ b/packages/engine/src/lib/model/referenceAnswer.ts
@@ -2,36 +2,36 @@
 import { tokenizeText, tokenText } from "./vocabulary.js";
 
 /**
- * The request of a {@link referenceAnswer}.
+ * The request that {@link referenceAnswer} computes an answer for.
  *
  * @public
  */
 export interface ReferenceOptions extends ModelIdentity {
-    /** How many layers the whole model has. */
+    /** The number of layers in the whole model. */
     readonly layers: number;
-    /** The prompt, exactly as it is given to the engine's `tokenize`. */
+    /** The prompt, exactly as passed to the engine's `tokenize`. */
     readonly prompt: string;
     readonly maxTokens: number;
-    /** The seed of the sampling; temperature and top-p do not matter to the fake model. */
+    /** The sampling seed; the fake model ignores temperature and top-p. */
     readonly seed?: number;
 }
 
 /**
- * The whole answer of the fake engine to a request.
+ * The complete answer of the fake engine to a request.
  *
  * @public
  */
 export interface ReferenceAnswer {
     readonly promptTokens: number;
-    /** The tokens of the answer; the token that ends it is included. */
+    /** The tokens of the answer, including the end token. */
     readonly tokens: readonly number[];
-    /** The texts of the tokens, joined. */
+    /** The concatenated texts of the tokens. */
     readonly text: string;
     readonly finish: "stop" | "length";
 }
 
 /**
- * Computes the whole answer of the fake model in one place, for a caller that checks what it received.
+ * Computes the complete answer of the fake model without an engine, so that a caller can verify what it received.
  *
  * @example
  * ```ts
@@ -53,7 +53,7 @@
         if (position < prompt.length - 1) {
             continue;
         }
-        const drawn = stack.draw(activations, 0, options.seed);
+        const drawn = stack.sampleToken(activations, 0, options.seed);
         tokens.push(drawn.token);
         sequence.push(drawn.token);
         end = drawn.end;
--- a/packages/engine/src/lib/model/vocabulary.ts
+++ b/packages/engine/src/lib/model/vocabulary.ts
@@ -21,24 +21,24 @@
 const middles = ["lan", "mer", "nis", "rol"];
 const endings = ["da", "ke", "mi", "no", "pu", "ra", "se", "ti"];
 
-/** How many tokens a model can draw; token ids run from 0 to this number, excluded. @public */
+/** The number of tokens that a model can sample; their IDs range from 0 up to this number, exclusive. @public */
 export const vocabularySize = beginnings.length * middles.length * endings.length;
 
-/** The token with which the model ends an answer. It is part of the answer. @public */
+/** The token that ends an answer. It is part of the answer. @public */
 export const endToken = 0;
 
-/** The token that stands before the text of every prompt. */
-const beginToken = vocabularySize;
+/** The token that starts every prompt, before the tokens of its text. */
+const beginOfSequenceToken = vocabularySize;
 
-/** Ids of prompt pieces lie above those of the vocabulary and below this number. */
-const pieceIds = 0x7fff_0000;
+/** The IDs of prompt tokens are above those of the vocabulary and below this number. */
+const tokenIdLimit = 0x7fff_0000;
 
 const piecePattern = /\s*[\p{L}\p{N}]{1,8}|\s*[^\s\p{L}\p{N}]|\s+/gu;
 
 /**
- * The text of a token that the model has drawn.
+ * Returns the text of a token that the model has sampled.
  *
- * @param token - The id, below {@link vocabularySize}.
+ * @param token - The token ID, below {@link vocabularySize}.
  * @public
  */
 export function tokenText(token: number): string {
@@ -52,16 +52,16 @@
 }
 
 /**
- * Splits a text into word pieces and gives each an id by its hash. The first token stands for the beginning, so that
- * an empty text has a token as well.
+ * Splits a text into word pieces and derives a token ID from the hash of each. The result starts with a
+ * beginning-of-sequence token, so that an empty text has one token.
  *
  * @public
  */
 export function tokenizeText(text: string): number[] {
     const pieces = text.match(piecePattern) ?? [];
-    return [beginToken, ...pieces.map(pieceId)];
+    return [beginOfSequenceToken, ...pieces.map(pieceId)];
 }
 
 function pieceId(piece: string): number {
-    return beginToken + 1 + hashText(piece) % (pieceIds - beginToken - 1);
+    return beginOfSequenceToken + 1 + hashText(piece) % (tokenIdLimit - beginOfSequenceToken - 1);
 }
