--- a/packages/engine/src/lib/Engine.ts
+++ b/packages/engine/src/lib/Engine.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 
 /**
- * A model version, whole or in part, that an engine holds ready.
+ * The layers of a model version that an engine has loaded.
  *
  * @public
  */
@@ -11,9 +11,9 @@
     version: z.string(),
     /** The first layer held, counted from 0. */
     first: z.number().int().nonnegative(),
-    /** The last layer held, included. */
+    /** The last layer held, inclusive. */
     last: z.number().int().nonnegative(),
-    /** Names of the adapters that are loaded for this version. */
+    /** Names of the adapters loaded for this version. */
     adapters: z.array(z.string()).default([]),
 });
 
@@ -25,22 +25,23 @@
 export type HeldLayers = z.infer<typeof heldLayersSchema>;
 
 /**
- * What an engine is, and which layers it holds.
+ * The capacity and role of an engine, and the layers it holds.
  *
  * @public
  */
 export const engineInfoSchema = z.object({
-    /** Requests that the engine runs in one batch. */
+    /** The maximum number of requests in one batch. */
     slots: z.number().int().positive(),
     held: z.array(heldLayersSchema),
-    /** Bytes of memory for weights, in all and free. */
+    /** Total bytes of memory for weights. */
     memory: z.number(),
+    /** Free bytes of memory for weights. */
     freeMemory: z.number(),
-    /** The role the engine plays now. */
+    /** The current role of the engine. */
     role: z.enum(["serving", "prefill", "idle"]),
-    /** True if the engine refuses an order that carries an old fencing number. */
+    /** True if the engine refuses orders with an outdated fencing token. */
     checksFence: z.boolean(),
-    /** The highest fencing number seen, when the engine keeps one. */
+    /** The highest fencing token seen; undefined if the engine does not track it or has seen none. */
     fence: z.number().int().optional(),
 });
 
@@ -52,24 +53,24 @@
 export type EngineInfo = z.infer<typeof engineInfoSchema>;
 
 /**
- * A sequence that an engine is to hold KV cache for.
+ * A token sequence whose KV cache the engine holds.
  *
  * @public
  */
 export const sessionSchema = z.object({
-    /** Unique in the engine; the agent uses request and epoch. */
+    /** The session ID, unique within the engine; the agent builds it from the request and its epoch. */
     session: z.string(),
     model: z.string(),
     version: z.string(),
     adapter: z.string().optional(),
     first: z.number().int(),
     last: z.number().int(),
-    /** Higher goes first. */
+    /** Steps with a higher priority are batched first. */
     priority: z.number().int(),
     temperature: z.number().optional(),
     topP: z.number().optional(),
     seed: z.number().int().optional(),
-    /** The tokens of the prompt, where known, for the prefix cache. */
+    /** The tokens of the prompt, if known, for lookups in the prefix cache. */
     tokens: z.array(z.number().int()).optional(),
 });
 
@@ -81,7 +82,7 @@
 export type Session = z.infer<typeof sessionSchema>;
 
 /**
- * Work on consecutive positions of one session. Exactly one of `tokens` (for an engine that holds layer 0) and
+ * Runs consecutive positions of one session. Exactly one of `tokens` (if the session starts at layer 0) and
  * `activations` is set.
  *
  * @public
@@ -92,7 +93,7 @@
     count: z.number().int().positive(),
     tokens: z.array(z.number().int()).optional(),
     activations: z.instanceof(Uint8Array).optional(),
-    /** True when the last layer is held here and the next token is wanted. */
+    /** True if this engine holds the last layer and is to sample the next token. */
     sample: z.boolean(),
 });
 
@@ -104,17 +105,17 @@
 export type Step = z.infer<typeof stepSchema>;
 
 /**
- * What a step gave: activations for the next stage, or a token from the last one.
+ * The output of a step: activations for the next stage, or a token from the last stage.
  *
  * @public
  */
 export const stepResultSchema = z.object({
-    /** The output for the next stage, when this engine does not hold the last layer. */
+    /** The input of the next stage; undefined if a token was sampled. */
     activations: z.instanceof(Uint8Array).optional(),
-    /** The token drawn, when one was wanted. */
+    /** The sampled token, if the step requested one. */
     token: z.number().int().optional(),
     text: z.string().optional(),
-    /** True when the model ended the answer. */
+    /** True if the token ends the answer. */
     end: z.boolean().optional(),
 });
 
@@ -126,16 +127,16 @@
 export type StepResult = z.infer<typeof stepResultSchema>;
 
 /**
- * How busy an engine is.
+ * The load of an engine.
  *
  * @public
  */
 export const engineLoadSchema = z.object({
     running: z.number(),
     waiting: z.number(),
-    /** Share of the KV cache memory in use, from 0 to 1. */
+    /** Fraction of the KV cache memory in use, from 0 to 1. */
     cacheUse: z.number(),
-    /** How old the figures are, in milliseconds. */
+    /** Age of these values in milliseconds. */
     age: z.number(),
 });
 
@@ -147,14 +148,14 @@
 export type EngineLoad = z.infer<typeof engineLoadSchema>;
 
 /**
- * A change of the prefix cache. Events come late; a jump in `sequence` means that some were lost.
+ * A change to the prefix cache. Events are delivered with a delay; a gap in `sequence` means that events were lost.
  *
  * @public
  */
 export const cacheEventSchema = z.object({
     sequence: z.number().int(),
     kind: z.enum(["stored", "evicted", "cleared"]),
-    /** Hashes of prompt blocks, each over the whole prefix up to its end. */
+    /** Hashes of prompt blocks; each covers the whole prefix up to the end of its block. */
     blocks: z.array(z.string()),
 });
 
@@ -166,14 +167,14 @@
 export type CacheEvent = z.infer<typeof cacheEventSchema>;
 
 /**
- * An order to an engine. Orders are idempotent: the same order twice has the effect of one.
+ * A command to an engine. Orders are idempotent by `id`: a repeated order takes effect only once.
  *
  * @public
  */
 export const orderSchema = z.object({
-    /** Unique for each order; a repeat carries the same. */
+    /** Unique for each order; a retry carries the same ID. */
     id: z.string(),
-    /** Grows with each change of the duty's holder. */
+    /** Fencing token: the term of the placement lease, which increases with each holder. */
     fence: z.number().int(),
     action: z.discriminatedUnion("kind", [
         z.object({
@@ -199,31 +200,31 @@
 export type Order = z.infer<typeof orderSchema>;
 
 /**
- * A model engine on a target. It batches continuously: steps submitted at the same time run together.
+ * A model engine on a target. It uses continuous batching: steps submitted at the same time run in one batch.
  *
  * @public
  */
 export interface Engine {
     info(): Promise<Outcome<EngineInfo>>;
-    /** Turns text into tokens with the vocabulary of a model. */
+    /** Tokenizes text with the vocabulary of a model. */
     tokenize(model: string, text: string): Promise<Outcome<number[]>>;
     /**
      * Opens a session.
      *
-     * @returns How many leading positions of `session.tokens` are in the prefix cache already.
+     * @returns The number of leading positions of `session.tokens` found in the prefix cache.
      */
     open(session: Session): Promise<Outcome<{ cached: number; }>>;
-    /** Runs the layers of the session on the next positions. Steps of one session must be in order, without gaps. */
+    /** Runs the session's layers on the next positions. The steps of a session must be in order and without gaps. */
     step(step: Step): Promise<Outcome<StepResult>>;
-    /** Drops a session and cancels its steps. Its prompt may stay in the prefix cache. Closing twice is harmless. */
+    /** Drops a session and cancels its steps; idempotent. Its prompt may stay in the prefix cache. */
     close(session: string): Promise<void>;
-    /** Exports the KV cache of a session up to a position (excluded). */
+    /** Exports the KV cache of a session; `positions` is the number of leading positions that it covers. */
     exportCache(session: string): Promise<Outcome<{ positions: number; data: Uint8Array; }>>;
-    /** Puts an exported KV cache into a session that holds the same layers and no positions yet. */
+    /** Imports an exported KV cache into a session of the same layers that holds no positions yet. */
     importCache(session: string, data: Uint8Array): Promise<Outcome<{ positions: number; }>>;
     load(): Promise<Outcome<EngineLoad>>;
-    /** Cache events after a sequence number, as far as the engine still has them. */
+    /** Returns the cache events after a sequence number that the engine still retains. */
     cacheEvents(after: number): Promise<Outcome<CacheEvent[]>>;
-    /** Carries out an order; `platformCodes.staleFence` from an engine that checks fences. */
+    /** Executes an order; an engine that checks fencing tokens refuses an outdated one with `staleFence`. */
     order(order: Order): Promise<Outcome<void>>;
 }
--- a/packages/engine/src/lib/EngineServer.ts
+++ b/packages/engine/src/lib/EngineServer.ts
@@ -15,17 +15,17 @@
  */
 export interface EngineServerOptions {
     readonly engine: Engine;
-    /** The most bytes of one request's body. */
+    /** Maximum size of a request body in bytes. */
     readonly bodyLimit?: number;
 }
 
 type Handlers = { readonly [Name in EngineMethod]: (input: MethodInput<Name>) => Promise<Outcome<unknown>>; };
 
-const contentType = { "content-type": "application/msgpack" };
+const responseHeaders = { "content-type": "application/msgpack" };
 const defaultBodyLimit = 64 * 1024 * 1024;
 
 /**
- * Puts an engine behind HTTP, as the other end of `HttpEngine`. It is the stand-in for an engine in tests and trials.
+ * Serves an engine over HTTP to `HttpEngine` clients. Tests and trials use it in place of a real engine server.
  *
  * @public
  */
@@ -36,16 +36,16 @@
 
     constructor(private readonly options: EngineServerOptions) {
         this.bodyLimit = options.bodyLimit ?? defaultBodyLimit;
-        this.handlers = handlersOf(options.engine);
+        this.handlers = createHandlers(options.engine);
         this.server = createServer((request, response) => void this.serve(request, response));
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @param port - The port; 0 lets the system choose.
+     * @param port - The port; 0 lets the operating system choose one.
      * @param host - The IP address.
-     * @returns The port in use.
+     * @returns The port that the server listens on.
      */
     listen(port = 0, host = "127.0.0.1"): Promise<number> {
         return new Promise((resolve, reject) => {
@@ -54,7 +54,7 @@
         });
     }
 
-    /** Stops listening and cuts every connection, as if the engine's host had died. */
+    /** Stops listening and closes every connection at once, as if the engine's host had crashed. */
     async stop(): Promise<void> {
         const closed = new Promise(resolve => this.server.close(resolve));
         this.server.closeAllConnections();
@@ -62,7 +62,7 @@
     }
 
     private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-        // A connection that breaks is the caller's to notice; there is nobody left to tell.
+        // The client detects a broken connection itself; the server cannot report it to anyone.
         response.on("error", () => {});
         const body = await readBody(request, this.bodyLimit);
         if (body === undefined) {
@@ -74,7 +74,7 @@
             return;
         }
         const outcome = await this.callMethod(request.url ?? "", body);
-        response.writeHead(200, contentType).end(pack(toWireOutcome(outcome)));
+        response.writeHead(200, responseHeaders).end(pack(toWireOutcome(outcome)));
     }
 
     private async serveSteps(body: Buffer, response: ServerResponse): Promise<void> {
@@ -83,14 +83,14 @@
             response.writeHead(400).end();
             return;
         }
-        response.writeHead(200, contentType).flushHeaders();
+        response.writeHead(200, responseHeaders).flushHeaders();
         await Promise.all(steps.data.map((step, index) => this.serveStep(step, index, response)));
         response.end();
     }
 
     private async serveStep(step: Step, index: number, response: ServerResponse): Promise<void> {
         const outcome = await this.options.engine.step(step);
-        // The caller may have gone while the step ran.
+        // The client may have disconnected while the step ran.
         if (response.destroyed) {
             return;
         }
@@ -100,18 +100,20 @@
     private async callMethod(path: string, body: Buffer): Promise<Outcome<unknown>> {
         const method = (Object.keys(engineMethods) as EngineMethod[]).find(name => path === methodPath(name));
         if (method === undefined) {
-            return Result.err(failure(requestCodes.noSuchRoute, "the engine has no such call"));
+            return Result.err(failure(requestCodes.noSuchRoute, "the engine has no method with this path"));
         }
         const input = engineMethods[method].input.safeParse(unpackBody(body));
         if (!input.success) {
-            return Result.err(failure(requestCodes.malformed, "the body fails its schema"));
+            return Result.err(
+                failure(requestCodes.malformed, "the request body does not match the schema of the method"),
+            );
         }
-        // The schema of the method has just checked the input that its handler takes.
+        // The schema above has validated the input of this handler, which the compiler cannot relate to the method.
         return this.handlers[method](input.data as never);
     }
 }
 
-function handlersOf(engine: Engine): Handlers {
+function createHandlers(engine: Engine): Handlers {
     return {
         info: () => engine.info(),
         tokenize: ({ model, text }) => engine.tokenize(model, text),
@@ -128,21 +130,21 @@
     };
 }
 
-/** Reads a body; undefined if it is too long or breaks off. */
+/** Reads a request body; returns undefined if it exceeds the limit or the connection breaks. */
 async function readBody(request: IncomingMessage, limit: number): Promise<Buffer | undefined> {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let bytes = 0;
     try {
-        for await (const piece of request as AsyncIterable<Buffer>) {
-            bytes += piece.length;
+        for await (const chunk of request as AsyncIterable<Buffer>) {
+            bytes += chunk.length;
             if (bytes > limit) {
                 return undefined;
             }
-            pieces.push(piece);
+            chunks.push(chunk);
         }
     }
     catch {
         return undefined;
     }
-    return Buffer.concat(pieces);
+    return Buffer.concat(chunks);
 }
--- a/packages/engine/src/lib/HttpEngine.test.ts
+++ b/packages/engine/src/lib/HttpEngine.test.ts
@@ -56,7 +56,7 @@
     return (server.address() as AddressInfo).port;
 }
 
-test("answers over HTTP are the reference answers", async t => {
+test("answers over HTTP equal the reference answers", async t => {
     const { adapter } = await serve(t, fakeEngine());
     const prompts = ["first prompt", "second one", "a third, which is longer than the others"];
     const answers = await Promise.all(prompts.map(async prompt => {
@@ -74,7 +74,7 @@
     }
 });
 
-test("every call passes its input, its value and its failure", async t => {
+test("every method transfers its input, its value and its failure", async t => {
     const engine = fakeEngine();
     const { adapter } = await serve(t, engine);
     assert.deepEqual(unwrap(await adapter.info()), unwrap(await engine.info()));
@@ -100,7 +100,7 @@
     assert.equal(unwrap(await adapter.info()).role, "idle");
 });
 
-test("steps of one turn share a request, and those of one session stay in order", async t => {
+test("steps of one event-loop turn share a request, and steps of one session stay in order", async t => {
     const { adapter } = await serve(t, fakeEngine());
     let requests = 0;
     const count = () => void requests++;
@@ -119,7 +119,7 @@
     (await run([1, 2, 3])).forEach(unwrap);
 });
 
-test("a connection that was never opened is not run", async t => {
+test("a call whose connection could not be opened is reported as not run", async t => {
     const server = createTcpServer();
     const port = await listen(t, server);
     await new Promise(resolve => server.close(resolve));
@@ -130,33 +130,33 @@
     await adapter.close("a");
 });
 
-/** A TCP server that lets a function treat a connection once the request has come in. */
-async function rawServer(t: TestContext, treat: (socket: Socket) => void): Promise<HttpEngine> {
+/** Starts a TCP server that injects a fault into each connection once its request has arrived. */
+async function serveRaw(t: TestContext, injectFault: (socket: Socket) => void): Promise<HttpEngine> {
     const server = createTcpServer(socket => {
         socket.on("error", () => {});
-        socket.once("data", () => treat(socket));
+        socket.once("data", () => injectFault(socket));
         t.after(() => socket.destroy());
     });
     return adapterTo(t, await listen(t, server));
 }
 
-test("a connection lost after the request is unknown", async t => {
+test("the outcome of a call is unknown if its connection is lost after the request was sent", async t => {
     const head = "HTTP/1.1 200 OK\r\ncontent-type: application/msgpack\r\ncontent-length: 100\r\n\r\n";
-    const treatments: ((socket: Socket) => void)[] = [
+    const faults: ((socket: Socket) => void)[] = [
         socket => socket.resetAndDestroy(),
         socket => socket.end(),
         socket => socket.write(head, () => socket.resetAndDestroy()),
         socket => socket.end(`${head}\u0000\u0000\u0000`),
         socket => socket.end("no HTTP at all\r\n\r\n"),
     ];
-    for (const treat of treatments) {
-        const adapter = await rawServer(t, treat);
+    for (const injectFault of faults) {
+        const adapter = await serveRaw(t, injectFault);
         assert.equal(codeOf(await adapter.info()), transportCodes.connectionLost.name);
         assert.equal(codeOf(await adapter.step(stepOf("a", 0, [1]))), transportCodes.connectionLost.name);
     }
 });
 
-test("a batch that breaks off keeps the outcomes that came", async t => {
+test("a batch whose connection breaks keeps the outcomes already received", async t => {
     const engine = fakeEngine();
     const { adapter, server } = await serve(t, engine);
     unwrap(await adapter.open(sessionOf("a")));
@@ -177,12 +177,12 @@
     await server.stop();
     assert.equal(codeOf(await second), transportCodes.connectionLost.name);
     assert.equal(codeOf(await behind), transportCodes.notConnected.name);
-    // The late answer finds no connection, which must not bring the engine's process down.
+    // The step now ends on a closed connection, which must not crash the engine's process.
     release();
     await new Promise(resolve => setImmediate(resolve));
 });
 
-test("an engine that hangs is given up at the timeout of the clock", async t => {
+test("a call to a hanging engine fails after its timeout, as measured by the clock", async t => {
     const clock = new ManualClock();
     const server = createTcpServer();
     const connected = new Promise<void>(resolve => {
@@ -199,7 +199,7 @@
     assert.equal(codeOf(await call), transportCodes.requestTimeout.name);
 });
 
-test("an answer that breaks the protocol is unknown", async t => {
+test("a response that violates the protocol leaves the outcome unknown", async t => {
     const answers: RequestListener[] = [
         (_, response) => response.end("plain text"),
         (_, response) => response.end(Buffer.from([0x81, 0xa5])),
--- a/packages/engine/src/lib/HttpEngine.ts
+++ b/packages/engine/src/lib/HttpEngine.ts
@@ -28,19 +28,19 @@
  */
 export interface HttpEngineOptions {
     readonly clock: Clock;
-    /** Where the engine listens, such as `http://127.0.0.1:9000`. */
+    /** The origin of the engine's URL, such as `http://127.0.0.1:9000`. */
     readonly origin: string;
-    /** The most connections at once for steps, and as many again for all other calls. */
+    /** Maximum number of connections for steps; other calls share as many again. */
     readonly connections?: number;
-    /** Milliseconds until opening a connection is given up. */
+    /** Milliseconds before an attempt to open a connection times out. */
     readonly connectTimeout?: number;
-    /** Milliseconds until a call is given up; it has an unknown outcome then. */
+    /** Milliseconds before a call times out; its outcome is then unknown. */
     readonly callTimeout?: number;
-    /** Milliseconds until a batch of steps is given up. */
+    /** Milliseconds before a batch of steps times out. */
     readonly stepTimeout?: number;
-    /** Milliseconds until an order is given up; a load may take long. */
+    /** Milliseconds before an order times out; loading weights takes far longer than other calls. */
     readonly orderTimeout?: number;
-    /** The most bytes of one answer. */
+    /** Maximum size of a response in bytes. */
     readonly answerLimit?: number;
 }
 
@@ -54,16 +54,16 @@
 };
 
 /**
- * An engine behind HTTP. Bodies are MessagePack; the steps of one turn of the event loop share a request.
+ * Client of an engine over HTTP. Bodies are MessagePack; steps submitted in one turn of the event loop share a request.
  *
- * A call fails as `not-connected`, which is "not run", only when no connection could be opened. Whatever fails later
- * (`connection-lost`, `request-timeout`, `protocol-violation`) has an unknown outcome. Nothing is retried here.
+ * A call fails as `not-connected`, which is "not run", only if no connection could be opened. Any later failure
+ * (`connection-lost`, `request-timeout`, `protocol-violation`) leaves the outcome unknown. This class does not retry.
  *
  * @public
  */
 export class HttpEngine implements Engine {
     private readonly options: Required<HttpEngineOptions>;
-    /** Steps have connections of their own, so that an engine that hangs on them can still be asked and told. */
+    /** Steps use separate connections, so that other calls still get through to an engine whose steps hang. */
     private readonly stepClient: EngineClient;
     private readonly client: EngineClient;
     private readonly steps: StepBatcher;
@@ -115,7 +115,7 @@
         return this.call("order", order, this.options.orderTimeout);
     }
 
-    /** Closes every connection to the engine. Calls under way fail with an unknown outcome. */
+    /** Closes every connection to the engine. Calls in flight fail with an unknown outcome. */
     async disconnect(): Promise<void> {
         await Promise.all([this.client.close(), this.stepClient.close()]);
     }
@@ -125,17 +125,17 @@
         input: MethodInput<Name>,
         timeout = this.options.callTimeout,
     ): Promise<Outcome<MethodOutput<Name>>> {
-        const pieces: Buffer[] = [];
+        const chunks: Buffer[] = [];
         let bytes = 0;
-        const sent = await this.client.post(methodPath(method), input, timeout, piece => {
-            bytes += piece.length;
-            pieces.push(piece);
+        const sent = await this.client.post(methodPath(method), input, timeout, chunk => {
+            bytes += chunk.length;
+            chunks.push(chunk);
             return bytes <= this.options.answerLimit;
         });
         return sent.andThen(() => {
-            // The compiler does not relate the schema of a generic method to its type.
+            // The compiler cannot relate the schema of a generic method to the type of its output.
             const output = engineMethods[method].output as unknown as z.ZodType<MethodOutput<Name>>;
-            return fromWireOutcome(unpackBody(Buffer.concat(pieces)), output);
+            return fromWireOutcome(unpackBody(Buffer.concat(chunks)), output);
         });
     }
 }
--- a/packages/engine/src/lib/engineFaults.test.ts
+++ b/packages/engine/src/lib/engineFaults.test.ts
@@ -26,7 +26,7 @@
     return { engine, port };
 }
 
-test("sessions that share batches, with any priorities and cancels, get their own answers", async () => {
+test("sessions that share batches get the right answers with any priorities and cancellations", async () => {
     const sessions = fc.array(
         fc.record({
             priority: fc.integer({ min: 0, max: 2 }),
@@ -43,7 +43,7 @@
             let running = choices.length;
             const answers = choices.map(async ({ priority, words, chunk, cancelAfter }, index) => {
                 const session = String(index);
-                // Prompts share beginnings, so that the prefix cache is hit and evicted on the way.
+                // Prompts share prefixes, so that the prefix cache has hits and evictions during the run.
                 const prompt = Array.from({ length: words }, (_, word) => `w${word}`).join(" ") + String(index % 2);
                 const tokens = tokenizeText(prompt);
                 const opened = await engine.open({ session, model, version, first: 0, last, priority, tokens });
@@ -73,33 +73,36 @@
     );
 });
 
-/** A proxy that cuts each connection after a random number of bytes in one direction, and after some takes no more. */
-async function cuttingProxy(t: TestContext, port: number, seed: number): Promise<number> {
+/**
+ * Starts a proxy that cuts each connection after a random number of bytes in one direction, and stops accepting
+ * connections after a random number of them.
+ */
+async function startFaultyProxy(t: TestContext, port: number, seed: number): Promise<number> {
     const random = seededRandom(seed);
     const sockets = new Set<Socket>();
-    let connectionsLeft = 3 + random.below(6);
+    let remainingConnections = 3 + random.below(6);
     const server = createServer(inbound => {
-        connectionsLeft--;
-        if (connectionsLeft === 0) {
+        remainingConnections--;
+        if (remainingConnections === 0) {
             server.close();
         }
         const outbound = connect(port, "127.0.0.1");
-        let left = random.below(3000);
-        const cutsAnswers = random.below(2) === 0;
-        const cut = () => [inbound, outbound].forEach(socket => socket.destroy());
-        const pass = (to: Socket, counted: boolean) => (bytes: Buffer) => {
-            to.write(counted ? bytes.subarray(0, left) : bytes);
-            left -= counted ? bytes.length : 0;
-            if (left <= 0) {
-                cut();
+        let remainingBytes = random.below(3000);
+        const cutsResponses = random.below(2) === 0;
+        const closeBoth = () => [inbound, outbound].forEach(socket => socket.destroy());
+        const forward = (to: Socket, counted: boolean) => (bytes: Buffer) => {
+            to.write(counted ? bytes.subarray(0, remainingBytes) : bytes);
+            remainingBytes -= counted ? bytes.length : 0;
+            if (remainingBytes <= 0) {
+                closeBoth();
             }
         };
         for (const socket of [inbound, outbound]) {
             sockets.add(socket);
-            socket.on("error", cut).on("close", cut);
+            socket.on("error", closeBoth).on("close", closeBoth);
         }
-        inbound.on("data", pass(outbound, !cutsAnswers));
-        outbound.on("data", pass(inbound, cutsAnswers));
+        inbound.on("data", forward(outbound, !cutsResponses));
+        outbound.on("data", forward(inbound, cutsResponses));
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     t.after(() => {
@@ -119,7 +122,7 @@
             seen.add(step.session);
             return passed(step);
         };
-        const origin = `http://127.0.0.1:${await cuttingProxy(t, port, seed)}`;
+        const origin = `http://127.0.0.1:${await startFaultyProxy(t, port, seed)}`;
         const adapter = new HttpEngine({ clock: new SystemClock(), origin, connections: 3 });
         t.after(() => adapter.disconnect());
         const outcomes = new Map<string, Outcome<unknown>>();
@@ -143,10 +146,10 @@
     assert.deepEqual([...results].sort(), ["completed", "connection-lost", "not-connected"]);
 });
 
-test("a body that no engine sends is answered or cut off, and the server goes on", async t => {
+test("an invalid request is answered or its connection closed, and the server continues to serve", async t => {
     const { engine, port } = await serveFake(t);
-    // Each call has a connection of its own: when this process stands still for longer than the server keeps an idle connection, the
-    // next call on it would meet its end, whatever the body.
+    // Each call opens a new connection: if this process stalls for longer than the server keeps idle connections open,
+    // a call that reuses one would fail regardless of its body.
     const dispatcher = new Agent({ pipelining: 0 });
     t.after(() => dispatcher.close());
     const paths = ["info", "tokenize", "open", "close", "exportCache", "importCache", "load", "cacheEvents", "order"];
--- a/packages/engine/src/lib/http/EngineClient.ts
+++ b/packages/engine/src/lib/http/EngineClient.ts
@@ -11,16 +11,16 @@
 /** @internal */
 export interface EngineClientOptions {
     readonly clock: Clock;
-    /** Where the engine listens, such as `http://127.0.0.1:9000`. */
+    /** The origin of the engine's URL, such as `http://127.0.0.1:9000`. */
     readonly origin: string;
-    /** The most connections at once. */
+    /** Maximum number of concurrent connections. */
     readonly connections: number;
-    /** Milliseconds until opening a connection is given up. */
+    /** Milliseconds before an attempt to open a connection times out. */
     readonly connectTimeout: number;
 }
 
 /**
- * Posts MessagePack bodies to an engine and turns every error of the HTTP client into a failure.
+ * Posts MessagePack bodies to an engine and converts every error of the HTTP client to a failure.
  *
  * @internal
  */
@@ -31,21 +31,26 @@
         this.pool = new Pool(options.origin, {
             connections: options.connections,
             connect: { timeout: options.connectTimeout },
-            // Timeouts come from the clock instead.
+            // The clock implements the timeouts instead, so that tests can control them.
             headersTimeout: 0,
             bodyTimeout: 0,
         });
     }
 
     /**
-     * Posts a body and lets a function take the pieces of the answer.
+     * Posts a body and passes the chunks of the response to a function.
      *
-     * @param path - The path of the call.
-     * @param body - Any value that MessagePack can carry.
-     * @param timeout - Milliseconds until the call is given up.
-     * @param take - Takes a piece of the answer; false ends the call as a violation of the protocol.
+     * @param path - The path of the method.
+     * @param body - Any value that MessagePack can encode.
+     * @param timeout - Milliseconds before the call times out.
+     * @param onChunk - Handles a chunk; returns false if it is invalid, which fails the call as a protocol violation.
      */
-    async post(path: string, body: unknown, timeout: number, take: (piece: Buffer) => boolean): Promise<Outcome<void>> {
+    async post(
+        path: string,
+        body: unknown,
+        timeout: number,
+        onChunk: (chunk: Buffer) => boolean,
+    ): Promise<Outcome<void>> {
         const controller = new AbortController();
         const timer = this.options.clock.schedule(() => controller.abort(timeoutError()), timeout);
         try {
@@ -56,7 +61,7 @@
                 body: pack(body),
                 signal: controller.signal,
             });
-            return await receive(response, take);
+            return await readResponse(response, onChunk);
         }
         catch (error) {
             return Result.err(connectionFailure(error));
@@ -66,27 +71,30 @@
         }
     }
 
-    /** Closes every connection; calls under way are lost. */
+    /** Closes every connection; calls in flight fail. */
     async close(): Promise<void> {
         await this.pool.destroy();
     }
 }
 
-async function receive(response: Dispatcher.ResponseData, take: (piece: Buffer) => boolean): Promise<Outcome<void>> {
+async function readResponse(
+    response: Dispatcher.ResponseData,
+    onChunk: (chunk: Buffer) => boolean,
+): Promise<Outcome<void>> {
     if (response.statusCode !== statusOk) {
         await response.body.dump();
-        return protocolViolation(`the engine answered with status ${response.statusCode}`);
+        return protocolViolation(`expected status 200 from the engine, got ${response.statusCode}`);
     }
-    for await (const piece of response.body) {
-        if (!take(piece as Buffer)) {
-            return protocolViolation("the engine's answer cannot be read");
+    for await (const chunk of response.body) {
+        if (!onChunk(chunk as Buffer)) {
+            return protocolViolation("the engine's response is invalid or too long");
         }
     }
     return Result.ok(undefined);
 }
 
 function timeoutError(): Error {
-    const error = new Error("the engine did not answer in time");
+    const error = new Error("the engine did not respond within the timeout");
     error.name = timeoutErrorName;
     return error;
 }
--- a/packages/engine/src/lib/http/StepBatcher.ts
+++ b/packages/engine/src/lib/http/StepBatcher.ts
@@ -12,20 +12,20 @@
 }
 
 /**
- * Sends the steps of one turn of the event loop in one request. A step waits while an earlier one of its session is
- * under way, since requests on two connections may overtake each other.
+ * Sends the steps submitted in one turn of the event loop in a single request. A step waits while an earlier step of
+ * its session is in flight, since requests on two connections may arrive out of order.
  *
  * @internal
  */
 export class StepBatcher {
-    private collected: PendingStep[] = [];
-    /** For each session with a step under way, the steps that wait behind it. */
+    private nextBatch: PendingStep[] = [];
+    /** For each session with a step in flight, the steps queued behind it. */
     private readonly sessions = new Map<string, PendingStep[]>();
 
     /**
      * @param client - Posts the batches.
-     * @param timeout - Milliseconds until a batch is given up.
-     * @param frameLimit - The most bytes of one step's outcome.
+     * @param timeout - Milliseconds before a batch times out.
+     * @param frameLimit - Maximum size in bytes of the outcome of a step.
      */
     constructor(
         private readonly client: EngineClient,
@@ -41,43 +41,43 @@
                 return;
             }
             this.sessions.set(step.session, []);
-            this.collect({ step, finish });
+            this.addToNextBatch({ step, finish });
         });
     }
 
-    private collect(pending: PendingStep): void {
-        this.collected.push(pending);
-        if (this.collected.length === 1) {
+    private addToNextBatch(pending: PendingStep): void {
+        this.nextBatch.push(pending);
+        if (this.nextBatch.length === 1) {
             setImmediate(() => void this.flush());
         }
     }
 
     private async flush(): Promise<void> {
-        const batch = this.collected;
-        this.collected = [];
+        const batch = this.nextBatch;
+        this.nextBatch = [];
         const unanswered = new Map(batch.entries());
         const frames = new FrameReader(this.frameLimit);
         const outcome = await this.client.post(
             methodPath("steps"),
             batch.map(({ step }) => step),
             this.timeout,
-            piece => this.takePiece(frames, piece, unanswered),
+            chunk => this.receiveChunk(frames, chunk, unanswered),
         );
-        const rest: Outcome<never> = outcome.isErr
+        const remainingOutcome: Outcome<never> = outcome.isErr
             ? Result.err(outcome.error)
-            : protocolViolation("the engine left a step without an answer");
+            : protocolViolation("the engine's response ended without an outcome for this step");
         for (const pending of unanswered.values()) {
-            this.finish(pending, rest);
+            this.finish(pending, remainingOutcome);
         }
     }
 
-    /** Gives the outcomes in a piece of the answer to their steps; false if the piece cannot be read. */
-    private takePiece(frames: FrameReader, piece: Buffer, unanswered: Map<number, PendingStep>): boolean {
-        const bodies = frames.push(piece);
-        return bodies !== undefined && bodies.every(body => this.takeFrame(body, unanswered));
+    /** Completes the steps whose outcomes are in a chunk of the response; returns false if the chunk is invalid. */
+    private receiveChunk(frames: FrameReader, chunk: Buffer, unanswered: Map<number, PendingStep>): boolean {
+        const bodies = frames.push(chunk);
+        return bodies !== undefined && bodies.every(body => this.receiveFrame(body, unanswered));
     }
 
-    private takeFrame(body: Buffer, unanswered: Map<number, PendingStep>): boolean {
+    private receiveFrame(body: Buffer, unanswered: Map<number, PendingStep>): boolean {
         const parsed = stepFrameSchema.safeParse(unpackBody(body));
         if (!parsed.success) {
             return false;
@@ -98,7 +98,7 @@
             this.sessions.delete(step.session);
         }
         else {
-            this.collect(next);
+            this.addToNextBatch(next);
         }
         finish(outcome);
     }
--- a/packages/engine/src/lib/http/connectionFailure.ts
+++ b/packages/engine/src/lib/http/connectionFailure.ts
@@ -1,13 +1,13 @@
 import { type Failure, failure, transportCodes } from "@waxwingspar/utils";
 
-/** The name of the error with which the adapter aborts a call that takes too long. @internal */
+/** The name of the error that aborts a call after its timeout. @internal */
 export const timeoutErrorName = "EngineTimeout";
 
 const connectCodes = new Set(["UND_ERR_CONNECT_TIMEOUT", "ENOTFOUND", "EAI_AGAIN"]);
 
 /**
- * Tells from an error of the HTTP client what is known about the call. Only an error of opening the connection proves
- * that nothing was sent; after any other the engine may have done the work.
+ * Converts an error of the HTTP client to a failure. Only an error while opening the connection proves that nothing was
+ * sent; after any other error the engine may have run the call.
  *
  * @internal
  */
@@ -16,7 +16,7 @@
         return failure(transportCodes.notConnected, "no connection to the engine could be opened");
     }
     if (error instanceof Error && error.name === timeoutErrorName) {
-        return failure(transportCodes.requestTimeout, "the engine did not answer in time");
+        return failure(transportCodes.requestTimeout, "the engine did not respond within the timeout");
     }
     return failure(transportCodes.connectionLost, "the connection to the engine was lost");
 }
--- a/packages/engine/src/lib/http/frames.ts
+++ b/packages/engine/src/lib/http/frames.ts
@@ -1,6 +1,6 @@
 const lengthBytes = 4;
 
-/** Puts the length of a body, as 32 bits with the highest byte first, before it. @internal */
+/** Prefixes a body with its length as a 32-bit big-endian integer. @internal */
 export function toFrame(body: Uint8Array): Buffer {
     const frame = Buffer.allocUnsafe(lengthBytes + body.length);
     frame.writeUInt32BE(body.length, 0);
@@ -9,32 +9,32 @@
 }
 
 /**
- * Cuts a stream of bytes into the frames that {@link toFrame} made.
+ * Splits a byte stream into the frames that {@link toFrame} encoded.
  *
  * @internal
  */
 export class FrameReader {
-    private pieces: Buffer[] = [];
+    private chunks: Buffer[] = [];
     private bytes = 0;
-    /** The bytes that must be there before anything can be cut off. */
+    /** The number of buffered bytes needed to decode the next length or body. */
     private needed = lengthBytes;
 
-    /** @param limit - The most bytes that a frame may have; a longer one is an error. */
+    /** @param limit - Maximum size of a body in bytes; a longer one is an error. */
     constructor(private readonly limit: number) {}
 
     /**
-     * Takes bytes.
+     * Adds a chunk of the stream.
      *
-     * @returns The bodies of the frames that are whole now, or undefined if a frame exceeds the limit.
+     * @returns The bodies of the frames that are now complete, or undefined if a frame exceeds the limit.
      */
-    push(piece: Buffer): Buffer[] | undefined {
-        this.pieces.push(piece);
-        this.bytes += piece.length;
-        // Pieces are joined only when they complete something, so that a long frame is copied once.
-        return this.bytes < this.needed ? [] : this.cut(Buffer.concat(this.pieces, this.bytes));
+    push(chunk: Buffer): Buffer[] | undefined {
+        this.chunks.push(chunk);
+        this.bytes += chunk.length;
+        // Chunks are concatenated only when they complete a length or a body, so that a long frame is copied once.
+        return this.bytes < this.needed ? [] : this.splitFrames(Buffer.concat(this.chunks, this.bytes));
     }
 
-    private cut(joined: Buffer): Buffer[] | undefined {
+    private splitFrames(joined: Buffer): Buffer[] | undefined {
         const bodies: Buffer[] = [];
         let rest = joined;
         this.needed = lengthBytes;
@@ -51,7 +51,7 @@
             bodies.push(rest.subarray(lengthBytes, end));
             rest = rest.subarray(end);
         }
-        this.pieces = [rest];
+        this.chunks = [rest];
         this.bytes = rest.length;
         return bodies;
     }
--- a/packages/engine/src/lib/http/wireOutcome.ts
+++ b/packages/engine/src/lib/http/wireOutcome.ts
@@ -11,7 +11,7 @@
 ]);
 
 /**
- * An outcome as it travels between an engine and its adapter.
+ * An outcome as encoded between an engine server and `HttpEngine`.
  *
  * @internal
  */
@@ -27,21 +27,23 @@
 }
 
 /**
- * Reads an outcome that came from an engine. Whatever does not fit the schema is a violation of the protocol, with an
- * unknown execution.
+ * Decodes an outcome received from an engine. A value that does not match the schema is a protocol violation, which
+ * leaves unknown whether the call was run.
  *
  * @internal
  */
 export function fromWireOutcome<T>(wire: unknown, schema: z.ZodType<T>): Outcome<T> {
     const parsed = wireOutcomeSchema.safeParse(wire);
     if (!parsed.success) {
-        return protocolViolation("the engine's answer is no outcome");
+        return protocolViolation("the engine's response is not a valid outcome");
     }
     if ("failure" in parsed.data) {
         return Result.err(toFailure(parsed.data.failure));
     }
     const value = schema.safeParse(parsed.data.value);
-    return value.success ? Result.ok(value.data) : protocolViolation("the engine's answer fails its schema");
+    return value.success
+        ? Result.ok(value.data)
+        : protocolViolation("the engine's response does not match the schema of the method");
 }
 
 /** @internal */
@@ -49,7 +51,7 @@
     return Result.err(failure(transportCodes.protocolViolation, message));
 }
 
-/** Unpacks a body, or returns undefined when it cannot be read. @internal */
+/** Decodes a MessagePack body; returns undefined if it is malformed. @internal */
 export function unpackBody(body: Uint8Array): unknown {
     try {
         return unpack(body);
