--- a/packages/engine/src/bench/checkerBench.ts
+++ b/packages/engine/src/bench/checkerBench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how many lines a second the history checker takes, and its memory for each request, at four sizes.
- * Baseline in the same run: reading the same files with `JSON.parse` and nothing else.
+ * Measures the throughput of the history checker in lines per second, and its memory per request, at four sizes.
+ * Baseline in the same run: only `JSON.parse` on every line of the same files.
  *
  * Run with `node --expose-gc packages/engine/dist/bench/checkerBench.js`.
  */
@@ -8,7 +8,7 @@
 import { mkdtemp, readFile, rm } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { machine, median, writeLine, writeTable } from "./report.js";
+import { describeMachine, median, writeLine, writeTable } from "./report.js";
 import { type SampleShape, writeSampleHistory } from "./writeSampleHistory.js";
 
 const sizes = [250, 500, 1000, 2000];
@@ -16,7 +16,7 @@
 const shape = { stages: 4, layers: 64, promptTokens: 200, answerTokens: 64 };
 const bytesPerKilobyte = 1024;
 
-async function parseOnly(paths: readonly string[]): Promise<void> {
+async function parseFiles(paths: readonly string[]): Promise<void> {
     for (const path of paths) {
         const text = await readFile(path, "utf8");
         for (const line of text.split("\n")) {
@@ -27,13 +27,13 @@
     }
 }
 
-async function readOnly(paths: readonly string[]): Promise<void> {
+async function readFiles(paths: readonly string[]): Promise<void> {
     for (const path of paths) {
         await readHistory(path, () => {});
     }
 }
 
-/** Checks the files, and returns the bytes that the checker holds before it decides. */
+/** Checks the files, and returns the bytes that the checker holds before it computes its verdict. */
 async function check(paths: readonly string[]): Promise<number> {
     globalThis.gc?.();
     const before = process.memoryUsage().heapUsed;
@@ -45,12 +45,12 @@
     const held = process.memoryUsage().heapUsed - before;
     const { violations, rules } = checker.finish();
     if (violations.length > 0 || rules.layers.undecided > 0) {
-        throw new Error("the sample history must be valid");
+        throw new Error("the checker reports violations or undecided requests in the sample history, which is valid");
     }
     return held;
 }
 
-async function timed(work: () => Promise<unknown>): Promise<number> {
+async function measureTime(work: () => Promise<unknown>): Promise<number> {
     const start = performance.now();
     await work();
     return performance.now() - start;
@@ -66,9 +66,9 @@
     const checked: number[] = [];
     const held: number[] = [];
     for (let round = 0; round < rounds; round++) {
-        parsed.push(await timed(() => parseOnly(paths)));
-        read.push(await timed(() => readOnly(paths)));
-        checked.push(await timed(async () => held.push(await check(paths))));
+        parsed.push(await measureTime(() => parseFiles(paths)));
+        read.push(await measureTime(() => readFiles(paths)));
+        checked.push(await measureTime(async () => held.push(await check(paths))));
     }
     const perSecond = (times: readonly number[]) => Math.round(lines / median(times) * 1000);
     return [
@@ -83,7 +83,7 @@
     ];
 }
 
-writeLine(machine());
+writeLine(describeMachine());
 writeLine(`${rounds} rounds, medians; ${JSON.stringify(shape)}\n`);
 const rows: (string | number)[][] = [];
 for (const requests of sizes) {
--- a/packages/engine/src/bench/engineServerProcess.ts
+++ b/packages/engine/src/bench/engineServerProcess.ts
@@ -1,6 +1,6 @@
 /**
- * A fake engine whose batches take no time, behind HTTP in a process of its own, so that the benchmark sees only the
- * adapter's side. It tells its port to its parent and ends with it.
+ * Serves a fake engine with instantaneous batches over HTTP in a separate process, so that the benchmark measures only
+ * the client side. It sends its port to the parent process and exits when the parent disconnects.
  */
 import { SystemClock } from "@waxwingspar/utils";
 import { EngineServer } from "../lib/EngineServer.js";
--- a/packages/engine/src/bench/httpEngineBench.ts
+++ b/packages/engine/src/bench/httpEngineBench.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what a step costs over HTTP, at several numbers of sessions that run at once. The engine is in a process of
- * its own, so processor time is the adapter's. Baselines in the same run: the fake engine called directly, and the same
- * adapter with one request for each step.
+ * Measures the cost of a step over HTTP at several numbers of concurrent sessions. The engine runs in a separate
+ * process, so the processor time is that of `HttpEngine`. Baselines in the same run: direct calls to the fake engine,
+ * and `HttpEngine` with one request per step.
  *
  * Run with `node packages/engine/dist/bench/httpEngineBench.js`.
  */
@@ -13,7 +13,7 @@
 import { StepBatcher } from "../lib/http/StepBatcher.js";
 import { HttpEngine } from "../lib/HttpEngine.js";
 import { benchSession, instantEngine } from "./instantEngine.js";
-import { machine, median, quantile, writeLine, writeTable } from "./report.js";
+import { describeMachine, median, quantile, writeLine, writeTable } from "./report.js";
 
 const concurrencies = [1, 8, 32, 128];
 const rounds = 7;
@@ -26,15 +26,15 @@
 interface Candidate {
     readonly name: string;
     readonly engine: Engine;
-    /** Runs a step in the way that is measured. */
+    /** Runs a step through the measured variant. */
     readonly step: (step: Step) => Promise<{ readonly isOk: boolean; }>;
 }
 
 interface Measurement {
-    /** Processor microseconds of this process for each step. */
+    /** Processor time of this process in microseconds per step. */
     readonly processor: number;
     readonly stepsPerSecond: number;
-    /** Milliseconds. */
+    /** Latency of each step in milliseconds. */
     readonly latencies: readonly number[];
 }
 
@@ -64,8 +64,8 @@
     return { processor: (user + system) / steps, stepsPerSecond: steps / elapsed * 1000, latencies };
 }
 
-/** One request for each step: every step has a batcher of its own. */
-function unbatched(engine: HttpEngine, origin: string): Candidate {
+/** Sends one request per step, by using a separate batcher for each step. */
+function createUnbatchedCandidate(engine: HttpEngine, origin: string): Candidate {
     const client = new EngineClient({ clock, origin, connections, connectTimeout: timeout });
     return {
         name: "one request a step",
@@ -85,7 +85,7 @@
     for (let round = 0; round <= rounds; round++) {
         for (const candidate of candidates) {
             const result = await measure(candidate, concurrency);
-            // The first round only warms up.
+            // The first round is a warm-up.
             if (round > 0) {
                 results.get(candidate)?.push(result);
             }
@@ -114,17 +114,17 @@
 const remote = new HttpEngine({ clock, origin, connections });
 const candidates: Candidate[] = [
     { name: "direct call", engine: local, step: step => local.step(step) },
-    unbatched(remote, origin),
+    createUnbatchedCandidate(remote, origin),
     { name: "HttpEngine", engine: remote, step: step => remote.step(step) },
 ];
-writeLine(machine());
+writeLine(describeMachine());
 writeLine(`${rounds} rounds of ${stepsPerRound} steps, medians over rounds, latencies over all steps\n`);
 const rows: (string | number)[][] = [];
 for (const concurrency of concurrencies) {
     rows.push(...await compare(candidates, concurrency));
 }
 writeTable(
-    ["way", "sessions at once", "µs of processor / step", "ratio to direct", "steps/s", "p50 ms", "p95 ms"],
+    ["variant", "sessions at once", "µs of processor / step", "ratio to direct", "steps/s", "p50 ms", "p95 ms"],
     rows,
 );
 child.disconnect();
--- a/packages/engine/src/bench/writeSampleHistory.ts
+++ b/packages/engine/src/bench/writeSampleHistory.ts
@@ -2,7 +2,7 @@
 import { SystemClock } from "@waxwingspar/utils";
 import { join } from "node:path";
 
-/** The shape of a sample run. */
+/** The dimensions of a sample history. */
 export interface SampleShape {
     readonly requests: number;
     readonly stages: number;
@@ -14,9 +14,9 @@
 const clock = new SystemClock();
 
 /**
- * Writes the history files of an entry and of one agent for each stage, in which all requests go well.
+ * Writes the history files of an entry and of one agent per stage, in which every request completes.
  *
- * @returns The paths of the files, and how many lines they have.
+ * @returns The paths of the files, and their total number of lines.
  */
 export async function writeSampleHistory(
     folder: string,
@@ -31,7 +31,7 @@
         file?.recorder.record(event);
     };
     for (let number = 0; number < shape.requests; number++) {
-        addRequest(`request ${number}`, shape, targets, event => record(entry, event), (stage, event) => {
+        recordRequest(`request ${number}`, shape, targets, event => record(entry, event), (stage, event) => {
             record(agents[stage], event);
         });
         await Promise.all(files.map(({ recorder }) => recorder.flush()));
@@ -50,27 +50,36 @@
     return { path, recorder: opened.value };
 }
 
-function addRequest(
+function recordRequest(
     request: string,
     shape: SampleShape,
     targets: readonly string[],
-    atEntry: (event: HistoryEvent) => void,
-    atStage: (stage: number, event: HistoryEvent) => void,
+    recordAtEntry: (event: HistoryEvent) => void,
+    recordAtStage: (stage: number, event: HistoryEvent) => void,
 ): void {
     const { layers, promptTokens, answerTokens } = shape;
     const attempt = { request, epoch: 0 };
     const depth = layers / targets.length;
-    atEntry({ event: "request.received", request, organisation: "depot", route: "demo", idempotent: true });
-    atEntry({ event: "attempt.started", ...attempt, targets: [...targets], resumeAt: 0 });
-    atStage(0, { event: "prompt.read", ...attempt, tokens: promptTokens, layers });
+    recordAtEntry({ event: "request.received", request, organisation: "depot", route: "demo", idempotent: true });
+    recordAtEntry({ event: "attempt.started", ...attempt, targets: [...targets], resumeAt: 0 });
+    recordAtStage(0, { event: "prompt.read", ...attempt, tokens: promptTokens, layers });
     for (let token = 0; token < answerTokens; token++) {
         const position = token === 0 ? 0 : promptTokens + token - 1;
         const count = token === 0 ? promptTokens : 1;
         for (const [stage, target] of targets.entries()) {
             const [first, last] = [stage * depth, (stage + 1) * depth - 1];
-            atStage(stage, { event: "layers.run", ...attempt, target, version: "1", first, last, position, count });
+            recordAtStage(stage, {
+                event: "layers.run",
+                ...attempt,
+                target,
+                version: "1",
+                first,
+                last,
+                position,
+                count,
+            });
         }
-        atEntry({ event: "tokens.sent", ...attempt, position: token, ids: [token] });
+        recordAtEntry({ event: "tokens.sent", ...attempt, position: token, ids: [token] });
     }
-    atEntry({ event: "request.ended", request, outcome: "completed", tokens: answerTokens });
+    recordAtEntry({ event: "request.ended", request, outcome: "completed", tokens: answerTokens });
 }
