--- a/packages/agent/src/lib/control/OrderGate.test.ts
+++ b/packages/agent/src/lib/control/OrderGate.test.ts
@@ -8,7 +8,7 @@
 import { Result } from "true-myth";
 import { OrderGate } from "./OrderGate.js";
 
-/** A gate with an engine that ignores fences, and a store that keeps the highest one. */
+/** A gate with an engine that ignores fences, and a store that holds the highest one. */
 class GateSite {
     readonly clock = new ManualClock();
     readonly applied: string[] = [];
@@ -19,7 +19,7 @@
     answer: (order: Order) => Promise<Outcome<void>> = () => Promise.resolve(Result.ok<void, never>(undefined));
     gate = this.createGate();
 
-    /** Another start of the agent, with empty memory. */
+    /** Simulates a restart of the agent, which loses its memory. */
     restart(): void {
         this.gate.stop();
         this.gate = this.createGate();
@@ -87,7 +87,7 @@
     assert.deepEqual(site.applied, ["o1", "o4"]);
 });
 
-test("the same order at the same time and later is carried out once", async () => {
+test("an order that is repeated concurrently and later is executed once", async () => {
     const site = new GateSite();
     await site.gate.start();
     const both = await Promise.all([site.gate.apply(order("o1", 1)), site.gate.apply(order("o1", 1))]);
@@ -97,7 +97,7 @@
     assert.deepEqual(site.applied, ["o1", "o2"]);
 });
 
-test("an order that waits behind another is checked again at its turn", async () => {
+test("an order that waits for another is checked again before it runs", async () => {
     const site = new GateSite();
     await site.gate.start();
     let release: (() => void) | undefined;
@@ -115,7 +115,7 @@
     assert.deepEqual(site.applied, ["o1"]);
 });
 
-test("an order with an unknown outcome is asked for again under its id", async () => {
+test("a repeat of an order with an unknown outcome is sent to the engine again under its id", async () => {
     const site = new GateSite();
     await site.gate.start();
     site.answer = () => Promise.reject(new Error("socket hang up"));
@@ -126,7 +126,7 @@
     assert.equal(site.history.length, 1);
 });
 
-test("nothing is taken away from requests that run, and the refusal of an order is final", async () => {
+test("orders that would remove what running requests use are refused, and a refusal is final", async () => {
     const site = new GateSite();
     await site.gate.start();
     const unload = (id: string, version: string): Order => (
@@ -145,7 +145,7 @@
     assert.equal(await codeOf(site.gate.apply(unload("o4", "v2"))), undefined);
     assert.equal(await codeOf(site.gate.apply(order("o5", 1))), undefined);
     site.inUse = [];
-    assert.equal(await codeOf(site.gate.apply(unload("o1", "v1"))), inUse, "a copy that comes late changes nothing");
+    assert.equal(await codeOf(site.gate.apply(unload("o1", "v1"))), inUse, "a late duplicate changes nothing");
     assert.equal(await codeOf(site.gate.apply(unload("o6", "v1"))), undefined);
     assert.deepEqual(site.applied, ["o4", "o5", "o6"]);
     assert.deepEqual(site.history.map(event => event.event === "order.applied" ? event.order : ""), site.applied);
--- a/packages/agent/src/lib/control/OrderGate.ts
+++ b/packages/agent/src/lib/control/OrderGate.ts
@@ -15,13 +15,13 @@
 import { type ModelVersion } from "../AgentContext.js";
 import { guarded } from "../guarded.js";
 
-/** The JSON-RPC method that takes an order. @internal */
+/** The name of the JSON-RPC method that applies an order. @internal */
 export const orderMethodName = "order.apply";
 
-/** Results of orders that are remembered for repeats. */
-const rememberedOrders = 1024;
+/** Maximum number of order results that are remembered for repeated orders. */
+const maxRememberedOrders = 1024;
 
-/** Milliseconds after which a duty may ask again for what requests still run on. */
+/** Milliseconds after which an order that was refused because of running requests may be issued again. */
 const inUseRetryAfter = 1000;
 
 /** @internal */
@@ -31,43 +31,43 @@
     readonly clock: Clock;
     readonly record: HistoryRecorder;
     readonly log: Logger;
-    /** Reads the highest fence that was ever issued for this target, from the store. */
+    /** Reads the highest fence ever issued for this target from the store. */
     readonly readFence: () => Promise<Outcome<number>>;
-    /** Milliseconds until the fence is read again after a failure. */
+    /** Milliseconds after which a failed read of the fence is retried. */
     readonly retryDelay: number;
-    /** The model versions that requests run on or wait for at this agent. */
+    /** Returns the model versions that running or queued requests of this agent use. */
     readonly inUse: () => readonly ModelVersion[];
-    /** Runs after an order has changed the engine. */
+    /** Called after the engine has handled an order. */
     readonly applied: () => Promise<unknown>;
 }
 
 /**
- * The only way by which orders reach the engine. It lets no order pass with a fence below the highest seen, also across
- * a restart of the agent, and carries out each order once.
+ * Checks and forwards all orders to the engine. It refuses orders with a fence below the highest one seen, also across
+ * restarts of the agent, and executes each order once.
  *
  * @internal
  */
 export class OrderGate {
     private fence: number | undefined;
-    private reading: Promise<void> | undefined;
+    private fenceRead: Promise<void> | undefined;
     private timer: Timer | undefined;
     private stopped = false;
     private readonly results = new Map<string, Promise<Outcome<void>>>();
     private readonly recorded = new Set<string>();
-    /** Orders run one after the other, since each may change what the next one meets. */
+    /** The last order. Orders run sequentially, since each may change the state that the next one depends on. */
     private last: Promise<unknown> = Promise.resolve();
 
     constructor(private readonly options: OrderGateOptions) {}
 
-    /** The highest fence seen; undefined until it has been read back. */
+    /** The highest fence seen; undefined until it has been read from the store. */
     get highestFence(): number | undefined {
         return this.fence;
     }
 
-    /** Reads the fence back, again and again until that succeeds. Until then every order is refused. */
+    /** Reads the highest fence from the store, with retries. Until this succeeds every order is refused. */
     start(): Promise<void> {
-        this.reading ??= this.readBack();
-        return this.reading;
+        this.fenceRead ??= this.readStoredFence();
+        return this.fenceRead;
     }
 
     stop(): void {
@@ -75,7 +75,7 @@
         this.timer?.cancel();
     }
 
-    /** Notes a fence; from then on no older order passes. */
+    /** Records a fence; from then on, orders with a lower fence are refused. */
     noteFence(fence: number): Outcome<void> {
         if (this.fence === undefined) {
             void this.start();
@@ -88,13 +88,13 @@
         return Result.ok(undefined);
     }
 
-    /** Carries out an order, or gives the result of the same order again. */
+    /** Executes an order, or returns the result of an earlier order with the same id. */
     apply(order: Order): Promise<Outcome<void>> {
         const known = this.results.get(order.id);
         if (known !== undefined) {
             return known;
         }
-        // From here on no older order passes, although this one may still wait for its turn.
+        // From here on, orders with a lower fence are refused, although this one may still wait for its turn.
         const noted = this.noteFence(order.fence);
         if (noted.isErr) {
             return Promise.resolve(noted);
@@ -105,15 +105,15 @@
         return result;
     }
 
-    /** The JSON-RPC method that takes orders. */
+    /** Creates the JSON-RPC method that applies orders. */
     createMethod(): RpcMethod {
         return async (params, link) => {
             if (link.peer.role === "tool") {
-                return Result.err(failure(requestCodes.forbidden, "tools give no orders"));
+                return Result.err(failure(requestCodes.forbidden, "a peer with the role tool may not send orders"));
             }
             const order = orderSchema.safeParse(params);
             if (!order.success) {
-                return Result.err(failure(requestCodes.malformed, "not an order"));
+                return Result.err(failure(requestCodes.malformed, "the parameters are not a valid order"));
             }
             return this.apply(order.data);
         };
@@ -121,31 +121,31 @@
 
     private async run(order: Order): Promise<Outcome<void>> {
         const { engine, record, target, applied, log } = this.options;
-        // A newer holder's order may have come while this one waited.
+        // An order with a higher fence may have arrived while this one waited.
         if (this.stopped || order.fence < (this.fence ?? 0)) {
             return staleFence(order.fence, this.fence ?? 0);
         }
-        if (this.takesFromRequests(order)) {
-            log.info({ order: order.id, kind: order.action.kind }, "orders: refused, since requests still run");
+        if (this.affectsRequests(order)) {
+            log.info({ order: order.id, kind: order.action.kind }, "orders: refused, requests still use the model");
             return inUse();
         }
         if (!this.recorded.has(order.id)) {
-            this.remembered(order.id);
+            this.addRecorded(order.id);
             record({ event: "order.applied", order: order.id, fence: order.fence, target });
         }
         const outcome = await guarded(() => engine.order(order));
         const code = outcome.isErr ? outcome.error.code.number : undefined;
-        log.info({ order: order.id, kind: order.action.kind, fence: order.fence, code }, "orders: carried out");
+        log.info({ order: order.id, kind: order.action.kind, fence: order.fence, code }, "orders: executed");
         await applied();
         if (outcome.isErr && outcome.error.code.execution === "unknown") {
-            // Only the engine can tell whether it was carried out; a repeat asks it again, under the same id.
+            // Only the engine knows whether it executed the order, so a repeat is sent to it again under the same id.
             this.results.delete(order.id);
         }
         return outcome;
     }
 
-    /** Whether requests run on what the order would take away. This is the last look before the engine has the order. */
-    private takesFromRequests({ action }: Order): boolean {
+    /** Checks whether the order would remove what requests use. The last check before the engine gets the order. */
+    private affectsRequests({ action }: Order): boolean {
         const used = this.options.inUse();
         switch (action.kind) {
             case "unload":
@@ -160,16 +160,16 @@
     private remember(id: string, result: Promise<Outcome<void>>): void {
         this.results.set(id, result);
         for (const oldest of this.results.keys()) {
-            if (this.results.size <= rememberedOrders) {
+            if (this.results.size <= maxRememberedOrders) {
                 return;
             }
             this.results.delete(oldest);
         }
     }
 
-    private remembered(id: string): void {
+    private addRecorded(id: string): void {
         this.recorded.add(id);
-        if (this.recorded.size > rememberedOrders) {
+        if (this.recorded.size > maxRememberedOrders) {
             const [oldest = id] = this.recorded;
             this.recorded.delete(oldest);
         }
@@ -177,16 +177,20 @@
 
     private notReady(): Failure {
         const details = { retryAfter: this.options.retryDelay };
-        return failure(platformCodes.storeUnavailable, "the fence has not been read back yet", details);
+        return failure(
+            platformCodes.storeUnavailable,
+            "the highest fence has not been read from the store yet",
+            details,
+        );
     }
 
-    private async readBack(): Promise<void> {
+    private async readStoredFence(): Promise<void> {
         const fence = await this.options.readFence();
         if (fence.isOk) {
             this.fence = Math.max(fence.value, this.fence ?? 0);
             return;
         }
-        this.reading = undefined;
+        this.fenceRead = undefined;
         if (!this.stopped) {
             this.timer?.cancel();
             this.timer = this.options.clock.schedule(() => void this.start(), this.options.retryDelay);
@@ -195,9 +199,11 @@
 }
 
 function staleFence(fence: number, highest: number): Outcome<void> {
-    return Result.err(failure(platformCodes.staleFence, `fence ${fence} is below ${highest}`));
+    return Result.err(failure(platformCodes.staleFence, `fence ${fence} is below the highest fence ${highest}`));
 }
 
 function inUse(): Outcome<void> {
-    return Result.err(failure(platformCodes.inUse, "requests still run on it", { retryAfter: inUseRetryAfter }));
+    return Result.err(
+        failure(platformCodes.inUse, "running or queued requests still use it", { retryAfter: inUseRetryAfter }),
+    );
 }
