--- a/packages/agent/src/lib/service/CallRecordSink.ts
+++ b/packages/agent/src/lib/service/CallRecordSink.ts
@@ -3,9 +3,10 @@
 import { type CallStream } from "./CallStream.js";
 
 /**
- * Writes the answer of a claimed call into its record, from where it reaches everyone who asked. While the record keeps
- * the answer, the call does not wait for anyone. Beyond that it goes as fast as the fastest of those who listen, and to
- * its end when nobody does. Whoever falls too far behind another is cut off, since the rest is kept nowhere.
+ * Appends the answer of a claimed call to its record, which forwards it to all streams that follow it. While the record
+ * keeps the answer, the call does not wait for any stream. Once the answer is too large to be kept, the call proceeds
+ * at the pace of the fastest stream, or runs to its end if there is none. A stream that falls too far behind then
+ * fails, since the rest of the answer is not stored for it.
  *
  * @internal
  */
@@ -13,7 +14,7 @@
     private readonly streams = new Set<CallStream>();
     private handler: () => void = () => undefined;
 
-    /** @param memory - Bytes of the answer that are kept, and for which a slow listener may be behind a fast one. */
+    /** @param memory - Bytes of the answer that are kept, and by which a slow stream may be behind a fast one. */
     constructor(
         private readonly claims: CallClaims,
         private readonly record: CallRecord,
@@ -28,14 +29,14 @@
     }
 
     get ready(): boolean {
-        return !this.record.truncated || this.streams.size === 0 || this.someReady();
+        return !this.record.truncated || this.streams.size === 0 || this.isAnyReady();
     }
 
     onReady(handler: () => void): void {
         this.handler = handler;
     }
 
-    /** Takes note of a stream that follows the record. */
+    /** Adds a stream that follows the record. */
     add(stream: CallStream): void {
         if (stream.closed) {
             return;
@@ -55,8 +56,8 @@
             this.record.truncate();
         }
         this.record.append(item, bytes);
-        if (this.record.truncated && this.someReady()) {
-            this.cutOffLaggards();
+        if (this.record.truncated && this.isAnyReady()) {
+            this.failSlowStreams();
         }
     }
 
@@ -72,14 +73,17 @@
         this.claims.interrupted(this.record, reason);
     }
 
-    private someReady(): boolean {
+    private isAnyReady(): boolean {
         return [...this.streams].some(stream => stream.ready);
     }
 
-    private cutOffLaggards(): void {
-        // Twice, since a stream may hold the whole kept part at the moment from which on nothing is kept.
-        const laggards = [...this.streams].filter(stream => stream.heldBytes > 2 * this.memory);
-        const reason = failure(requestCodes.inProgress, "it runs; its answer is too large to wait for a slow caller");
-        laggards.forEach(stream => stream.failed(reason));
+    private failSlowStreams(): void {
+        // Twice the limit, since a stream may still hold the whole kept part when the record stops keeping the answer.
+        const slowStreams = [...this.streams].filter(stream => stream.heldBytes > 2 * this.memory);
+        const reason = failure(
+            requestCodes.inProgress,
+            "the call is running; its answer is too large to be kept for a slow caller",
+        );
+        slowStreams.forEach(stream => stream.failed(reason));
     }
 }
--- a/packages/agent/src/lib/service/CallSink.ts
+++ b/packages/agent/src/lib/service/CallSink.ts
@@ -8,7 +8,7 @@
     | { readonly kind: "head"; readonly status: number; readonly headers: ReplyHeaders; }
     | { readonly kind: "body"; readonly data: Uint8Array<ArrayBuffer>; };
 
-/** The end of a whole answer. @internal */
+/** The end of a complete answer. @internal */
 export type CallEnd = "whole";
 
 /** The claims of plain calls. @internal */
@@ -17,13 +17,13 @@
 /** @internal */
 export type CallRecord = ClaimRecord<CallItem, CallEnd>;
 
-/** Where the answer of one call goes. @internal */
+/** Receives the answer of one call. @internal */
 export interface CallSink {
-    /** Bytes that wait to be sent. */
+    /** Bytes that are queued for sending. */
     readonly queuedBytes: number;
     /** False while no more of the answer should be read, since the credit for it is used up. */
     readonly ready: boolean;
-    /** Sets what runs when `ready` may have changed. */
+    /** Sets a handler that is called when `ready` may have changed. */
     onReady(handler: () => void): void;
     item(item: CallItem): void;
     end(): void;
--- a/packages/agent/src/lib/service/CallStream.ts
+++ b/packages/agent/src/lib/service/CallStream.ts
@@ -8,16 +8,16 @@
 export interface CallStreamOptions {
     readonly link: Link;
     readonly request: string;
-    /** Bytes of the body that may be sent before more is granted. Undefined for an entry that grants nothing. */
+    /** Bytes of the body that may be sent before more is granted. Undefined for an entry without flow control. */
     readonly credit: number | undefined;
     readonly load: () => LoadReport;
-    /** Runs once, when the last message has been sent or the stream was dropped. */
+    /** Called once, when the last message has been sent or the stream was dropped. */
     readonly ended: () => void;
 }
 
 /**
- * Sends the answer of a call to an entry, never more of the body than the entry has granted; the rest is held. Nothing
- * follows the end or a failure.
+ * Sends the answer of a call to an entry. The body is sent only up to the credit that the entry has granted; the rest
+ * is buffered. Nothing is sent after the end or a failure.
  *
  * @internal
  */
@@ -72,7 +72,7 @@
         this.flush();
     }
 
-    /** The entry grants more. Grants may come late; the highest counts. */
+    /** Raises the credit to `upTo` bytes. Grants may arrive late or out of order, so the highest one counts. */
     credit(upTo: number): void {
         if (this.isClosed || upTo <= this.upTo) {
             return;
@@ -94,7 +94,7 @@
         });
     }
 
-    /** Nobody listens any more. */
+    /** Closes the stream without sending anything, as the caller no longer needs the answer. */
     drop(): void {
         this.finish(() => undefined);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Sends as much of the first held piece as the credit allows. */
+    /** Sends as much of the first buffered piece as the credit allows. */
     private sendPart(piece: Uint8Array<ArrayBuffer>): void {
         const { link, request } = this.options;
         const data = piece.subarray(0, this.upTo - this.sent);
--- a/packages/agent/src/lib/service/ServiceCall.ts
+++ b/packages/agent/src/lib/service/ServiceCall.ts
@@ -4,7 +4,7 @@
 import { type CallSink } from "./CallSink.js";
 import { replyHeaders, requestHeaders } from "./headers.js";
 
-/** Errors that come before a single byte of the call could be sent. */
+/** Codes of errors that occur before any byte of the call was sent. */
 const notSentErrors = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -14,29 +14,29 @@
     "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Milliseconds between two looks at a link that has too much queued. */
+/** Milliseconds between two checks of a link with too many queued bytes. */
 const congestionPoll = 5;
 
 /** @internal */
 export interface ServiceCallOptions {
     readonly message: CallMessage;
     readonly dispatcher: Dispatcher;
-    /** The path below which the service answers, without a slash at its end. */
+    /** The base path of the service, without a trailing slash. */
     readonly root: string;
     readonly clock: Clock;
-    /** Milliseconds for the whole answer. */
+    /** Timeout in milliseconds for the complete answer. */
     readonly timeout: number;
     readonly sink: CallSink;
-    /** Runs once, as soon as the call may have reached the service, before the sink is told anything. */
+    /** Called once when the call may have reached the service, before the sink receives anything. */
     readonly sent: () => void;
-    /** Bytes of the largest piece that is sent at once. */
+    /** Maximum size in bytes of a piece of the answer. */
     readonly piece: number;
-    /** Bytes queued towards the entry from which on no more of the answer is read. */
+    /** Bytes queued for the entry above which no more of the answer is read. */
     readonly highWater: number;
 }
 
 /**
- * One call to the plain service beside the agent.
+ * One call to the plain service that the agent proxies.
  *
  * @internal
  */
@@ -45,12 +45,12 @@
     private timer: Timer | undefined;
     private timedOut = false;
     private answered = false;
-    /** Ends the wait for credit. */
+    /** Resumes a call that waits for credit. */
     private wake: () => void = () => undefined;
 
     constructor(private readonly options: ServiceCallOptions) {}
 
-    /** Runs the call. It always ends the sink, and never throws. */
+    /** Runs the call. It always ends or fails the sink, and never throws. */
     async run(): Promise<void> {
         const { clock, timeout, sink } = this.options;
         sink.onReady(() => this.wake());
@@ -60,14 +60,14 @@
             sink.end();
         }
         catch (error) {
-            sink.failed(this.judge(error));
+            sink.failed(this.toFailure(error));
         }
         finally {
             this.timer.cancel();
         }
     }
 
-    /** Breaks the call off. */
+    /** Aborts the call. */
     abort(): void {
         this.controller.abort();
         this.wake();
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Waits while the entry is behind, so that a slow caller does not fill the agent's memory. */
+    /** Waits while too many bytes are queued for the entry, so that a slow caller does not fill the agent's memory. */
     private async drained(): Promise<void> {
         const { sink, clock, highWater } = this.options;
         while (sink.queuedBytes > highWater && !this.controller.signal.aborted) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Waits while the credit is used up, so that what a slow caller has not taken stays at the service. */
+    /** Waits while the credit is used up, so that the unread rest of the answer stays at the service. */
     private async granted(): Promise<void> {
         const { signal } = this.controller;
         while (!this.options.sink.ready && !signal.aborted) {
@@ -123,17 +123,17 @@
         this.abort();
     }
 
-    /** What an error says about the call: only an error before anything was sent proves that it did not run. */
-    private judge(error: unknown): Failure {
+    /** Converts an error to a failure. Only an error before anything was sent proves that the call did not run. */
+    private toFailure(error: unknown): Failure {
         if (!this.answered && notSentErrors.has(errorCode(error))) {
-            return failure(requestCodes.noCapacity, "the service takes no connection");
+            return failure(requestCodes.noCapacity, `the service accepts no connection: ${errorCode(error)}`);
         }
         if (!this.answered) {
             this.options.sent();
         }
         return this.timedOut
             ? failure(requestCodes.deadlineExceeded, "the service did not answer in time")
-            : failure(requestCodes.outcomeUnknown, `the call was broken off: ${errorCode(error)}`);
+            : failure(requestCodes.outcomeUnknown, `the call was interrupted: ${errorCode(error)}`);
     }
 }
 
--- a/packages/agent/src/lib/service/ServiceProxy.test.ts
+++ b/packages/agent/src/lib/service/ServiceProxy.test.ts
@@ -11,7 +11,7 @@
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** An agent beside a service that a test answers for. */
+/** An agent with a plain service whose HTTP handler the test supplies. */
 class CallSite {
     readonly site = new TestSite();
 
@@ -44,13 +44,13 @@
         });
     }
 
-    /** Waits for real sockets; the clock of the test stands still unless `advance` is set. */
+    /** Waits for real sockets, advancing the test clock by `advance` milliseconds each turn. */
     async until(condition: () => boolean, advance = 0): Promise<void> {
         for (let turn = 0; turn < 5000 && !condition(); turn++) {
             this.site.clock.advance(advance);
             await new Promise(resolve => setTimeout(resolve, 1));
         }
-        assert.ok(condition(), "it happened in time");
+        assert.ok(condition(), "the condition was met in time");
     }
 
     async close(): Promise<void> {
@@ -91,7 +91,7 @@
     return Buffer.concat(chunks).toString();
 }
 
-test("passes a call on without the headers of one connection", async () => {
+test("forwards a call without connection-specific headers", async () => {
     const seen: { url: string | undefined; headers: IncomingMessage["headers"]; body: string; }[] = [];
     const site = await CallSite.create((request, response) => {
         void bodyOf(request).then(body => {
@@ -128,7 +128,7 @@
     assert.equal(site.site.events("a", "service.run").length, 1);
 });
 
-test("service that takes no connection has not run the call", async () => {
+test("call to a service that accepts no connection has not run", async () => {
     const site = await CallSite.create(() => undefined);
     await site.close();
     const refused = new TestSite();
@@ -161,7 +161,7 @@
     assert.equal(site.site.events("a", "service.run").length, 1);
 });
 
-test("answer that breaks off is unknown", async () => {
+test("call with a truncated answer is unknown", async () => {
     const site = await CallSite.create((_, response) => {
         response.writeHead(200, { "content-length": "100" });
         response.write("half", () => response.destroy());
@@ -239,7 +239,7 @@
     await site.close();
 });
 
-test("cancelled call without a claim is broken off", async () => {
+test("cancelled call without a claim is aborted", async () => {
     let closed = false;
     let arrived = false;
     const site = await CallSite.create(request => {
@@ -256,7 +256,7 @@
     await site.close();
 });
 
-test("call that comes again right after it was cancelled runs", async () => {
+test("call that is repeated right after its cancellation runs", async () => {
     let runs = 0;
     const site = await CallSite.create((_, response) => {
         runs++;
@@ -289,7 +289,7 @@
     assert.equal(runs, 1);
 });
 
-test("claim whose call was broken off never runs again", async () => {
+test("claim whose call was interrupted never runs again", async () => {
     let runs = 0;
     const site = await CallSite.create(request => {
         runs++;
--- a/packages/agent/src/lib/service/ServiceProxy.ts
+++ b/packages/agent/src/lib/service/ServiceProxy.ts
@@ -16,37 +16,37 @@
 const methodPattern = /^[A-Z]+$/;
 
 /**
- * The plain service beside an agent.
+ * The address of the plain service that an agent proxies.
  *
  * @public
  */
 export interface ServiceAddress {
-    /** The name of the service's resource. */
+    /** The name of the service resource. */
     readonly name: string;
-    /** Where it answers, such as `http://127.0.0.1:9000`. */
+    /** The base URL of the service, such as `http://127.0.0.1:9000`. */
     readonly baseUrl: string;
-    /** Sends the calls; by default a pool of connections to `baseUrl`. */
+    /** Sends the calls; a connection pool for `baseUrl` by default. */
     readonly dispatcher?: Dispatcher;
 }
 
-/** A call that waits or runs. */
+/** A queued or running call. */
 interface OpenCall {
     readonly stream: CallStream;
     readonly claimed: boolean;
-    /** The name in the queue. */
+    /** The id in the work queue. */
     readonly item: string;
     call: ServiceCall | undefined;
 }
 
-/** A call's place in the queue. */
+/** The work-queue entry of a call. */
 interface CallSlot {
     readonly item: string;
-    /** The clock's time by which the answer must be whole. */
+    /** The clock's time by which the answer must be complete. */
     readonly due: number;
 }
 
 /**
- * Passes calls to the plain service beside the agent, a claimed one at most once.
+ * Proxies calls to the plain service, and runs each claimed call at most once.
  *
  * @internal
  */
@@ -54,9 +54,9 @@
     private readonly dispatcher: Dispatcher;
     private readonly root: string;
     private readonly calls = new Map<string, OpenCall>();
-    /** Where the answers of claimed calls go that were admitted, for duplicates that join them. */
+    /** The sinks of admitted claimed calls, to which the streams of duplicates are added. */
     private readonly recordSinks = new WeakMap<CallRecord, CallRecordSink>();
-    /** Calls that wait for the service's answer, also those that nobody listens to any more. */
+    /** Number of calls in flight to the service, including those whose caller is gone. */
     private runningCalls = 0;
     private callCount = 0;
 
@@ -73,12 +73,12 @@
         });
     }
 
-    /** Calls that would be cut off if the agent closed now. */
+    /** Number of calls that would be interrupted if the agent closed now. */
     get active(): number {
         return Math.max(this.calls.size, this.runningCalls);
     }
 
-    /** Takes a `call` message. */
+    /** Handles a `call` message. */
     call(message: CallMessage, link: Link): void {
         if (this.calls.has(message.request)) {
             this.context.metrics.dropped?.("call");
@@ -97,17 +97,17 @@
         this.callClaimed(message, claimUse(message, message.claim), stream);
     }
 
-    /** Whether a call under this claim may have run here. */
+    /** Returns true if a call under this claim may have run here. */
     knows(claim: string | undefined): boolean {
         return claim !== undefined && this.claims.knows(claim);
     }
 
-    /** Takes a `replyCredit` message. */
+    /** Handles a `replyCredit` message. */
     credit(request: string, upTo: number): void {
         this.calls.get(request)?.stream.credit(upTo);
     }
 
-    /** Takes a `callCancel` message. A claimed call runs to its end, and its answer is kept for duplicates. */
+    /** Handles a `callCancel` message. A claimed call runs to its end, and its answer is kept for duplicates. */
     cancel(request: string): void {
         const open = this.calls.get(request);
         if (open === undefined) {
@@ -121,10 +121,10 @@
         this.context.queue.cancel(open.item);
     }
 
-    /** Breaks off every call and closes the connections. */
+    /** Fails every open call and closes the connections. */
     async close(): Promise<void> {
         for (const open of [...this.calls.values()]) {
-            open.stream.failed(failure(requestCodes.outcomeUnknown, "the agent stopped"));
+            open.stream.failed(failure(requestCodes.outcomeUnknown, "the agent stopped while the call was open"));
         }
         await this.dispatcher.destroy();
     }
@@ -140,7 +140,7 @@
         };
         const stream = new CallStream({ link, request, credit, load: () => load.report(), ended });
         load.begin(link);
-        // A call that is broken off keeps its slot for a moment, in which its request may come again.
+        // The count keeps ids unique: an aborted call holds its slot for a moment, in which its request may come again.
         const item = `call/${request}/${this.callCount++}`;
         this.calls.set(request, { stream, claimed: message.claim !== undefined, item, call: undefined });
         return stream;
@@ -148,7 +148,7 @@
 
     private check({ service, path, method, body, claim }: CallMessage): Failure | undefined {
         if (this.knows(claim)) {
-            // It may have run here, so that whatever is wrong with it now, it must not be called "not run".
+            // The call may have run here, so it must not be refused as "not run", whatever is wrong with it now.
             return undefined;
         }
         if (this.context.load.leaving) {
@@ -158,10 +158,12 @@
             return failure(requestCodes.wrongTarget, `${service} does not run here`);
         }
         if (!path.startsWith("/") || !methodPattern.test(method)) {
-            return failure(requestCodes.malformed, "the call has no valid method and path");
+            return failure(requestCodes.malformed, "the call has no valid method or path");
         }
         const limit = this.context.configuration.get("service", service)?.spec.maxBody ?? defaultMaxBody;
-        return body.length > limit ? failure(requestCodes.tooLarge, `the body exceeds ${limit} bytes`) : undefined;
+        return body.length > limit
+            ? failure(requestCodes.tooLarge, `the body of ${body.length} bytes exceeds the limit of ${limit} bytes`)
+            : undefined;
     }
 
     private callClaimed(message: CallMessage, use: ClaimUse, stream: CallStream): void {
--- a/packages/agent/src/lib/service/headers.ts
+++ b/packages/agent/src/lib/service/headers.ts
@@ -1,6 +1,6 @@
 import { type ReplyHeaders } from "@waxwingspar/transport";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Headers that apply to a single connection (RFC 9110, section 7.6.1). */
 const hopByHop = new Set([
     "connection",
     "keep-alive",
@@ -13,18 +13,18 @@
     "upgrade",
 ]);
 
-/** Headers of a request that the connection to the service sets itself. */
+/** Request headers that the HTTP client of the service connection sets itself. */
 const ownHeaders = new Set(["host", "content-length", "expect"]);
 
-/** Headers as an HTTP library gives them. @internal */
+/** Headers as returned by an HTTP library. @internal */
 export type IncomingHeaders = Record<string, string | string[] | undefined>;
 
-/** The headers of a call that are passed on to the service. @internal */
+/** Returns the headers of a call that are forwarded to the service. @internal */
 export function requestHeaders(headers: Record<string, string>): Record<string, string> {
     return endToEnd(headers, ownHeaders);
 }
 
-/** The headers of an answer that are passed back. Repeated ones stay apart, as a comma may be part of a value. @internal */
+/** Returns the headers of an answer to forward. Repeated ones stay separate, as values may contain commas. @internal */
 export function replyHeaders(headers: IncomingHeaders): ReplyHeaders {
     return endToEnd(headers, new Set());
 }
@@ -44,7 +44,7 @@
     return kept;
 }
 
-/** The headers that the `Connection` header names as its own. */
+/** Returns the lower-case header names that the `Connection` header lists as connection-specific. */
 function connectionOptions(headers: IncomingHeaders): Set<string> {
     const connection = Object.entries(headers).find(([name]) => name.toLowerCase() === "connection")?.[1];
     const text = Array.isArray(connection) ? connection.join(",") : connection ?? "";
--- a/packages/agent/src/lib/service/replyCredit.test.ts
+++ b/packages/agent/src/lib/service/replyCredit.test.ts
@@ -9,10 +9,10 @@
 
 const piece = 1000;
 
-/** A service whose answer has a number of pieces, and that counts those which were read. */
+/** A service whose answer has a number of pieces, and that counts the bytes that were read. */
 class PieceService {
     read = 0;
-    /** Calls that were broken off or came to their end. */
+    /** Number of calls that were aborted or completed. */
     ended = 0;
 
     constructor(private readonly pieces: number) {}
@@ -63,7 +63,7 @@
     });
 }
 
-/** Lets everything happen that does not need time. */
+/** Settles all pending work that does not depend on the clock. */
 async function settle(): Promise<void> {
     for (let turn = 0; turn < 200; turn++) {
         await new Promise(resolve => setImmediate(resolve));
@@ -117,7 +117,7 @@
     assert.deepEqual(body, Buffer.concat(Array.from({ length: 20 }, (_, index) => Buffer.alloc(piece, index))));
 });
 
-test("an entry that grants nothing gets its answer as before", async () => {
+test("an entry without flow control gets the whole answer", async () => {
     const { entry } = await createSite(new PieceService(20));
     await call(entry, {});
     await settle();
@@ -163,7 +163,7 @@
     assert.deepEqual([interrupted, isWhole(site.entry)], [0, true]);
 });
 
-test("leaving cuts a paused call off at its limit", async () => {
+test("leaving interrupts a paused call at its limit", async () => {
     const service = new PieceService(20);
     const site = await createSite(service, { drainLimit: 2000 });
     await call(site.entry, { credit: 2500, timeLeft: 100_000 });
