--- a/packages/agent/src/lib/Agent.test.ts
+++ b/packages/agent/src/lib/Agent.test.ts
@@ -11,14 +11,14 @@
 const reference = referenceAnswer({ ...identity, prompt: testPrompt, maxTokens: 20, seed: 7 });
 const names = ["a", "b", "c", "d", "e"];
 
-/** A failing run prints its seed; set it here, and the number of runs, to look closer. */
+/** A failing run prints its seed. Set AGENT_SEED to reproduce it, and AGENT_RUNS to change the number of runs. */
 const seed = Number(process.env.AGENT_SEED ?? 20261202);
 
-function runsOf(usual: number): number {
+function numRuns(usual: number): number {
     return Number(process.env.AGENT_RUNS ?? usual);
 }
 
-/** Takes the first three targets that have not failed. */
+/** Chooses the first three targets that have not failed. */
 function chooseThree(excluded: ReadonlySet<string>): ReturnType<typeof chainOf> | undefined {
     const free = names.filter(name => !excluded.has(name));
     return free.length < 3 ? undefined : chainOf(free.slice(0, 3), testLayers);
@@ -94,25 +94,25 @@
     const run = new TestRun({ entry: site.entry, request: "r1", choose: chooseThree });
     const other = new TestRun({ entry: site.entry, request: "r2", choose: chooseThree });
     await site.until(() => run.ids.length === 3);
-    // A batch takes longer than the timeout of a step and than the wait for a token.
+    // A batch takes longer than the step timeout and the token timeout.
     site.targets.get("b")?.engine.slow(120);
     await site.until(() => run.outcome !== undefined && other.outcome !== undefined);
     assert.equal(run.epoch, 0);
     assert.deepEqual(run.ids, reference.tokens);
 });
 
-test("a stage that stands still while a long prompt runs is found", async () => {
+test("a stage that stalls while a long prompt runs is found", async () => {
     const site = new TestSite(1);
     await site.startAll(names, { agent: { settings: { prefillChunk: 64 } }, engine: { prefillTokenTime: 1 } });
     const prompt = testPrompt.repeat(150);
     const run = new TestRun({ entry: site.entry, request: "r1", choose: chooseThree, changes: { prompt } });
     await site.until(() => site.events("b", "layers.run").length === 3);
-    // The process of b stands still: its links stay open, and nothing comes out of it.
+    // The process of b stalls: its links stay open, but it sends nothing.
     ["a", "c", "entry"].forEach(other => site.network.holdDirection("b", other));
     const stopped = site.clock.now();
     await site.until(() => run.epoch === 1, 60_000);
     assert.equal(site.entry.answer("r1", 0).failed?.target, "b");
-    // One wait for a chunk, and the time to answer; the whole prompt would allow 40 s.
+    // One chunk timeout plus the state query; a timeout for the whole prompt would be 40 s.
     assert.ok(site.clock.now() - stopped < 3000, `took ${site.clock.now() - stopped} ms`);
 });
 
@@ -157,7 +157,7 @@
                 (_, index) => new TestRun({ entry: site.entry, request: `r${index}`, choose: chooseThree, window }),
             );
             for (const { at, target, kind, other } of faults) {
-                site.clock.schedule(() => bringAbout(site, target, other, kind), at);
+                site.clock.schedule(() => injectFault(site, target, other, kind), at);
             }
             await site.until(() => runs.every(run => run.outcome !== undefined), 15_000);
             for (const run of runs) {
@@ -168,7 +168,7 @@
             }
             assert.deepEqual(site.violations(), []);
         }),
-        { numRuns: runsOf(60), seed },
+        { numRuns: numRuns(60), seed },
     );
 });
 
@@ -199,7 +199,7 @@
                 site.clock.schedule(() => runs.push(startClaimed(entry, `r${index}`, key, window)), at);
             }
             for (const { at, target, kind, other } of faults) {
-                site.clock.schedule(() => bringAbout(site, target, other, kind), at);
+                site.clock.schedule(() => injectFault(site, target, other, kind), at);
             }
             await site.until(
                 () => runs.length === duplicates.length && runs.every(run => run.outcome !== undefined),
@@ -213,11 +213,11 @@
             }
             assert.deepEqual(site.violations(), []);
         }),
-        { numRuns: runsOf(100), seed },
+        { numRuns: numRuns(100), seed },
     );
 });
 
-/** A request that only the first start of agent a may run. */
+/** Starts a request that only the first incarnation of agent a may run. */
 function startClaimed(entry: TestEntry, request: string, key: string, window: number): TestRun {
     const runner = { target: "a", incarnation: "a-1" };
     const keyHash = shortHash(key);
@@ -229,7 +229,7 @@
     return new TestRun({ entry, request, key, choose, changes: { claim }, window });
 }
 
-function bringAbout(site: TestSite, target: string, other: string, kind: string): void {
+function injectFault(site: TestSite, target: string, other: string, kind: string): void {
     switch (kind) {
         case "kill":
             site.kill(target);
@@ -255,7 +255,7 @@
             site.network.between("entry", target).forEach(({ pair }) => pair.cut());
             return;
         default:
-            // The link to the entry is left alone: its heartbeat belongs to the transport.
+            // Links to the entry are never held, as detecting that is up to the heartbeat of the transport.
             if (target !== other) {
                 site.network.holdDirection(target, other);
             }
--- a/packages/agent/src/lib/AttemptTable.test.ts
+++ b/packages/agent/src/lib/AttemptTable.test.ts
@@ -7,7 +7,7 @@
     return { epoch, supersede: () => superseded.push(epoch) };
 }
 
-test("finished requests are remembered up to a number and an age, open ones always", () => {
+test("finished requests are remembered up to a number and an age, open ones without limit", () => {
     const clock = new ManualClock();
     const table = new AttemptTable({ clock, limit: 3, retention: 1000 });
     table.begin("open", attempt(0));
@@ -26,7 +26,7 @@
     assert.ok(table.find("open", 0) !== undefined);
 });
 
-test("a newer epoch supersedes, and the end of the older one changes nothing", () => {
+test("a newer epoch supersedes an older one, whose end changes nothing", () => {
     const superseded: number[] = [];
     const table = new AttemptTable({ clock: new ManualClock(), limit: 10, retention: 1000 });
     table.begin("r", attempt(0, superseded));
--- a/packages/agent/src/lib/Drain.test.ts
+++ b/packages/agent/src/lib/Drain.test.ts
@@ -21,7 +21,7 @@
     );
 }
 
-/** Lets a target leave, and keeps how that ended. */
+/** Starts the leaving of a target; the returned object receives the result. */
 function leave(site: TestSite, target: string): { result: DrainResult | undefined; } {
     const leaving: { result: DrainResult | undefined; } = { result: undefined };
     void site.targets.get(target)?.agent.leave().then(result => {
@@ -41,11 +41,14 @@
         const announced = site.entry.received.some(message =>
             message.type === "load" && message.load.leaving && message.load.target === target
         );
-        assert.ok(announced || target !== "a", "every linked entry is told at once");
+        assert.ok(announced || target !== "a", "every linked entry is notified immediately");
         const late = new TestRun({ entry: site.entry, request: "late", choose });
         await site.until(() => leaving.result !== undefined && late.outcome !== undefined);
         assert.deepEqual(leaving.result, { interrupted: 0 });
-        assert.ok(runs.every(run => run.outcome === "completed" && run.epoch === 0), "what ran ends where it ran");
+        assert.ok(
+            runs.every(run => run.outcome === "completed" && run.epoch === 0),
+            "running requests complete on their first chain",
+        );
         assert.equal(late.outcome, "completed");
         assert.equal(late.epoch, 1, "the first chain refused");
         assert.equal(site.entry.answer("late", 0).failed?.failure.code, requestCodes.stopping.number);
@@ -104,10 +107,10 @@
     await site.until(() => leaving.result !== undefined);
     assert.deepEqual(leaving.result, { interrupted: 1 });
     await site.clock.advanceAsync(5, 1);
-    assert.equal(answer.failed?.failure.code, requestCodes.stageLost.number, "the caller is told");
+    assert.equal(answer.failed?.failure.code, requestCodes.stageLost.number, "the caller receives the failure");
 });
 
-test("what is on its way when an idle target leaves is refused", async () => {
+test("requests in flight when an idle target leaves are refused", async () => {
     const site = new TestSite(100);
     await site.start("a");
     const stages = chainOf(["a"], testLayers);
--- a/packages/agent/src/lib/testing/TestEntry.ts
+++ b/packages/agent/src/lib/testing/TestEntry.ts
@@ -11,7 +11,7 @@
 } from "@waxwingspar/transport";
 import { assert, type Clock } from "@waxwingspar/utils";
 
-/** What an entry got for one attempt. @internal */
+/** The answer that an entry received for one attempt. @internal */
 export interface TestAnswer {
     readonly ids: number[];
     text: string;
@@ -30,15 +30,16 @@
 }
 
 /**
- * An entry that keeps what it receives, and checks that tokens follow on each other and nothing follows an end.
+ * An entry that keeps all received messages, and checks that token positions are contiguous and nothing follows the
+ * end.
  *
  * @internal
  */
 export class TestEntry {
     readonly received: Message[] = [];
-    /** Runs for every message, after it has been kept. */
+    /** Called for every message after it has been stored in `received`. */
     onMessage: ((message: Message) => void) | undefined;
-    /** Runs when the link to a target has closed. */
+    /** Called when the link to a target has closed. */
     onLost: ((target: string) => void) | undefined;
     private readonly answers = new Map<string, TestAnswer>();
     /** The targets to which links were opened, by address. */
@@ -59,7 +60,7 @@
         return this.options.record;
     }
 
-    /** Opens a link to a target, or gives the open one. Undefined when it is gone. */
+    /** Returns the open link to a target, or opens one. Undefined if the target is unreachable. */
     async tryLink(target: string): Promise<Link | undefined> {
         const address = this.options.addressOf(target);
         this.linked.set(keyOf(address), target);
@@ -105,7 +106,7 @@
             case "tokens": {
                 const answer = this.answer(message.request, message.epoch);
                 answer.first ??= message.position;
-                assert(message.position === answer.first + answer.ids.length, "tokens follow on each other");
+                assert(message.position === answer.first + answer.ids.length, "token positions are contiguous");
                 assert(answer.done === undefined && answer.failed === undefined, "nothing follows the end");
                 answer.ids.push(...message.ids);
                 answer.text += message.texts.join("");
@@ -133,7 +134,7 @@
     return `${host} ${port}`;
 }
 
-/** Splits the layers of a model over targets, as evenly as it goes. @internal */
+/** Distributes the layers of a model over targets as evenly as possible. @internal */
 export function chainOf(targets: readonly string[], layers: number): Stage[] {
     return targets.map((target, index) => ({
         target,
@@ -147,7 +148,7 @@
 /** The prompt of {@link openMessage}. @internal */
 export const testPrompt = "Why does the mast of the lift truck drift down under load?";
 
-/** An `open` with usual values. @internal */
+/** Creates an `open` message with default values. @internal */
 export function openMessage(changes: Partial<OpenMessage> & Pick<OpenMessage, "request" | "stages">): OpenMessage {
     return {
         type: "open",
--- a/packages/agent/src/lib/testing/TestNetwork.ts
+++ b/packages/agent/src/lib/testing/TestNetwork.ts
@@ -10,7 +10,7 @@
 import { type Clock, failure, type Outcome, transportCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 
-/** A process that takes links. @internal */
+/** A process that accepts links. @internal */
 export interface TestHost {
     readonly hello: Hello;
     readonly methods: () => Readonly<Record<string, RpcMethod>>;
@@ -25,7 +25,7 @@
 }
 
 /**
- * Connects processes in memory. The host of an address is the name of the process.
+ * An in-memory network between processes. The host of an address is the name of the process.
  *
  * @internal
  */
@@ -39,20 +39,20 @@
         this.hosts.set(host.hello.process, host);
     }
 
-    /** The process dies: its links close, and no new one opens. */
+    /** Simulates the death of a process: its links close, and no new ones can be opened. */
     kill(name: string): void {
         this.hosts.delete(name);
         this.between(name).forEach(({ pair }) => pair.cut());
     }
 
-    /** The connections that a process has. */
+    /** Returns the open connections of a process, or those between two processes. */
     between(name: string, other?: string): TestConnection[] {
         return this.connections.filter(({ from, to, pair }) =>
             pair.left.open && (from === name || to === name) && (other === undefined || from === other || to === other)
         );
     }
 
-    /** Lets nothing through in one direction. */
+    /** Holds back all messages in one direction. */
     holdDirection(from: string, to: string): void {
         for (const connection of this.between(from, to)) {
             const direction = connection.from === from ? connection.pair.leftToRight : connection.pair.rightToLeft;
@@ -70,7 +70,9 @@
             }
             const to = this.hosts.get(host);
             if (to === undefined) {
-                return Promise.resolve(Result.err(failure(transportCodes.notConnected, `${host} is gone`)));
+                return Promise.resolve(
+                    Result.err(failure(transportCodes.notConnected, `no process listens at ${host}`)),
+                );
             }
             const pair = linkPair({
                 left: { hello: from.hello, methods: from.methods() },
@@ -93,7 +95,7 @@
     }
 }
 
-/** Who a process of a test says it is. @internal */
+/** Creates the `hello` message of a test process. @internal */
 export function testHello(process: string, role: Hello["role"], incarnation = `${process}-1`): Hello {
     return { type: "hello", protocol: 1, process, role, incarnation, dataCentre: "d1" };
 }
--- a/packages/agent/src/lib/testing/TestRun.ts
+++ b/packages/agent/src/lib/testing/TestRun.ts
@@ -6,19 +6,19 @@
 export interface TestRunOptions {
     readonly entry: TestEntry;
     readonly request: string;
-    /** Chooses the chain of an attempt without the targets that have failed; undefined when there is none. */
+    /** Chooses a chain without the failed targets for an attempt; undefined if there is none. */
     readonly choose: (excluded: ReadonlySet<string>, epoch: number) => Stage[] | undefined;
     readonly changes?: Partial<OpenMessage>;
     /** The idempotency key of a request that runs at most once; its claim is in `changes`. */
     readonly key?: string;
     /** Milliseconds between the failure of an attempt and the next one; 0 by default. */
     readonly retryDelay?: number;
-    /** How many tokens the caller takes at once; unlimited by default. */
+    /** Flow-control window of the caller in tokens; unlimited by default. */
     readonly window?: number;
 }
 
 /**
- * A request at an entry that resumes it after a loss, as the entry package does.
+ * A request at an entry that is resumed on another chain after a failure, as in the entry package.
  *
  * @internal
  */
@@ -28,7 +28,7 @@
     epoch = -1;
     outcome: "completed" | "not run" | "unknown" | undefined;
     code: number | undefined;
-    /** Milliseconds at which each token came. */
+    /** The clock's time in milliseconds at which each token arrived. */
     readonly times: number[] = [];
     private stages: Stage[] = [];
     private exporters: Exporter[] = [];
@@ -155,11 +155,11 @@
         entry.clock.schedule(() => void this.attempt(), retryDelay);
     }
 
-    /** Whether a claimed request must not be tried again: refused by its runner, or told that nothing is known. */
+    /** Returns true if a claimed request must not be retried: its runner refused it, or its outcome is unknown. */
     private isFinal(execution: "completed" | "not run" | "unknown"): boolean {
         const { outcomeUnknown, inProgress } = requestCodes;
-        const untold = this.code === outcomeUnknown.number || this.code === inProgress.number;
-        return this.options.key !== undefined && (execution === "not run" || untold);
+        const isUndetermined = this.code === outcomeUnknown.number || this.code === inProgress.number;
+        return this.options.key !== undefined && (execution === "not run" || isUndetermined);
     }
 
     private end(outcome: "completed" | "not run" | "unknown", code: number | undefined): void {
--- a/packages/agent/src/lib/testing/TestSite.ts
+++ b/packages/agent/src/lib/testing/TestSite.ts
@@ -7,7 +7,7 @@
 import { TestEntry } from "./TestEntry.js";
 import { testHello, type TestHost, TestNetwork } from "./TestNetwork.js";
 
-/** Layers of the model of the test site. @internal */
+/** Number of layers of the model of the test site. @internal */
 export const testLayers = 12;
 
 /** An agent of a test site with its engine. @internal */
@@ -31,7 +31,7 @@
 }
 
 /**
- * Agents with fake engines, and an entry, connected in memory on a clock that the test moves.
+ * Agents with fake engines, and an entry, connected in memory and driven by a manual clock.
  *
  * @internal
  */
@@ -41,7 +41,7 @@
     readonly entry: TestEntry;
     readonly configuration: Configuration;
     readonly targets = new Map<string, TestTarget>();
-    /** The histories of all processes, in the order of what happened. */
+    /** The histories of all processes, in the order of the events. */
     readonly history: HistoryLine[] = [];
     private readonly sequences = new Map<string, number>();
 
@@ -75,7 +75,7 @@
         });
     }
 
-    /** Starts an agent; one with the same name as before is a restart at the same address. */
+    /** Starts an agent. Starting the same name again is a restart at the same address. */
     async start(name: string, options: TestTargetOptions = {}): Promise<TestTarget> {
         const { first = 0, last = testLayers - 1, slots = 64 } = options;
         const hello = testHello(name, "agent", options.incarnation);
@@ -112,13 +112,13 @@
         return Promise.all(names.map(name => this.start(name, options)));
     }
 
-    /** The events of one kind that a target recorded. */
+    /** Returns the events of one kind that a target recorded. */
     events<Name extends HistoryEvent["event"]>(target: string, event: Name): Extract<HistoryEvent, { event: Name; }>[] {
         const history = this.targets.get(target)?.history ?? [];
         return history.filter((body): body is Extract<HistoryEvent, { event: Name; }> => body.event === event);
     }
 
-    /** Checks the histories of all processes. Nothing of them is lost, since they were kept in memory. */
+    /** Checks the histories of all processes, which are complete since they are kept in memory. */
     violations(): string[] {
         const lines = [...this.history];
         this.sequences.forEach((sequence, key) => {
@@ -139,13 +139,13 @@
         };
     }
 
-    /** A target dies with its agent. */
+    /** Simulates the death of a target together with its agent. */
     kill(name: string): void {
         this.targets.get(name)?.engine.crash();
         this.network.kill(name);
     }
 
-    /** Moves time, with promises settled on the way, until a condition holds or the time is over. */
+    /** Advances the clock, settling promises at each step, until a condition holds or the limit is reached. */
     async until(condition: () => boolean, limit = 60_000): Promise<void> {
         for (let passed = 0; passed < limit && !condition(); passed++) {
             await this.clock.advanceAsync(1, 1);
