--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The agent beside each target: pipeline stages, claims and plain services.
+ * The agent that runs next to each target: pipeline stages, claims and calls to plain services.
  *
  * @packageDocumentation
  */
--- a/packages/agent/src/lib/Agent.ts
+++ b/packages/agent/src/lib/Agent.ts
@@ -27,7 +27,7 @@
 import { HeadRequests } from "./head/HeadRequests.js";
 import { createExportMethod, exportMethodName } from "./kv/exportMethod.js";
 import { type CreditMessage } from "./messages.js";
-import { isTakenFrom } from "./peerRoles.js";
+import { isAcceptedFrom } from "./peerRoles.js";
 import { type ServiceAddress, ServiceProxy } from "./service/ServiceProxy.js";
 import { StageAttempt } from "./stage/StageAttempt.js";
 import { StageRequests } from "./stage/StageRequests.js";
@@ -39,21 +39,21 @@
  * @public
  */
 export interface AgentOptions {
-    /** The target beside which the agent runs. */
+    /** The target that the agent controls. */
     readonly target: string;
-    /** What the agent says about itself; claims are bound to its incarnation. */
+    /** The handshake data of this agent; claims are bound to its incarnation. */
     readonly hello: Hello;
-    /** Opens links to other agents. Only this agent may use it. */
+    /** Opens links to other agents. Must not be shared with another agent. */
     readonly pool: LinkPool;
     readonly engine: Engine;
     readonly configuration: Configuration;
-    /** The queue of the target, for model requests and plain calls together. */
+    /** The work queue of the target, shared by model requests and plain calls. */
     readonly queue: WorkQueue;
-    /** The plain service beside the agent, if there is one. */
+    /** The plain service that the agent proxies, if there is one. */
     readonly service?: ServiceAddress;
-    /** Reads the highest fence ever issued for this target from the store. By default there was none. */
+    /** Reads the highest fence ever issued for this target from the store. By default, no fence has been issued. */
     readonly readFence?: () => Promise<Outcome<number>>;
-    /** Writes down what became of the claims, for duplicates that come after the agent has left. By default it is lost. */
+    /** Stores the final state of the claims, for duplicates that arrive after the agent has left. Lost by default. */
     readonly writeLeftClaims?: WriteLeftClaims;
     readonly record?: HistoryRecorder;
     readonly clock?: Clock;
@@ -63,14 +63,14 @@
     readonly settings?: Partial<AgentSettings>;
 }
 
-/** What became of the requests of an agent that left. @public */
+/** The result of {@link Agent.leave}. @public */
 export interface DrainResult {
-    /** Requests that were cut off; 0 unless the hard limit passed. */
+    /** Number of requests that were interrupted; 0 unless the drain limit was reached. */
     readonly interrupted: number;
 }
 
 /**
- * The agent beside a target: the only sender of work and orders to it.
+ * The agent of a target. All work and all orders for the target pass through it.
  *
  * @example
  * ```ts
@@ -84,7 +84,7 @@
  * @public
  */
 export class Agent {
-    /** The JSON-RPC methods that the agent answers: `claims.report`, `kv.export`, `order.apply` and `stage.state`. */
+    /** The JSON-RPC methods that the agent serves: `claims.report`, `kv.export`, `order.apply` and `stage.state`. */
     readonly methods: Readonly<Record<string, RpcMethod>>;
     private readonly context: AgentContext;
     private readonly heads: HeadRequests;
@@ -94,7 +94,7 @@
     private readonly gate: OrderGate;
     private readonly stopWatching: () => void;
     private closed = false;
-    private left: Promise<DrainResult> | undefined;
+    private drainResult: Promise<DrainResult> | undefined;
 
     constructor(options: AgentOptions) {
         this.context = createContext(options);
@@ -125,17 +125,17 @@
         this.stopWatching = context.configuration.onChange(() => this.applyShares());
     }
 
-    /** True once the agent takes no new work. */
+    /** True once the agent refuses new work. */
     get leaving(): boolean {
         return this.context.load.leaving;
     }
 
-    /** Requests that would be cut off if the agent closed now. */
+    /** Number of requests that would be interrupted if the agent closed now. */
     get activeRequests(): number {
         return this.context.table.open.filter(attempt => attempt.active).length + (this.calls?.active ?? 0);
     }
 
-    /** Asks the engine what it holds, and begins to read the fence back. */
+    /** Queries the engine for the models it holds, and starts to read the highest fence from the store. */
     async start(): Promise<void> {
         this.applyShares();
         void this.gate.start();
@@ -143,7 +143,7 @@
         await this.context.held.refresh();
     }
 
-    /** Takes over a link that a peer has opened. */
+    /** Handles the messages of a link that a peer has opened. */
     accept(link: Link): void {
         this.context.links.add(link);
         link.onMessage(message => this.receive(message, link));
@@ -152,17 +152,17 @@
         }
     }
 
-    /** Carries out an order, if its fence is not too old. */
+    /** Executes an order unless its fence is stale. */
     apply(order: Order): Promise<Outcome<void>> {
         return this.gate.apply(order);
     }
 
-    /** Notes a fence at the gate of the target; from then on no older order passes. */
+    /** Records a fence of the target; from then on, orders with a lower fence are refused. */
     noteFence(fence: number): Outcome<void> {
         return this.gate.noteFence(fence);
     }
 
-    /** The model versions that requests run on or wait for. */
+    /** The model versions that running or queued requests use. */
     inUse(): ModelVersion[] {
         const used = new Map<string, ModelVersion>();
         for (const { uses } of this.context.table.open) {
@@ -175,14 +175,14 @@
     }
 
     /**
-     * Leaves: announces it on every link, refuses new work as not run from now on, waits for what runs, hands over what
-     * takes too long, and closes.
+     * Drains and closes the agent: announces on every link that it leaves, refuses new work as not run, waits for
+     * running requests, hands over those that take too long, and closes.
      *
-     * @returns How many requests were cut off, which is 0 unless the hard limit passed.
+     * @returns The number of interrupted requests, which is 0 unless the drain limit was reached.
      */
     leave(): Promise<DrainResult> {
-        this.left ??= this.leaveOnce();
-        return this.left;
+        this.drainResult ??= this.leaveOnce();
+        return this.drainResult;
     }
 
     private async leaveOnce(): Promise<DrainResult> {
@@ -202,14 +202,14 @@
         });
         const interrupted = await drain.wait();
         await this.close();
-        // Only now: from here on every request is refused, so that a claim that is not listed can never run here.
-        await this.claims.writeDown();
+        // Only after closing, when every request is refused: a claim that is not listed can then never run here.
+        await this.claims.persist();
         record({ event: "process.stopped", interrupted });
         log.info({ target, interrupted }, "agent: stopped");
         return { interrupted };
     }
 
-    /** Stops at once. Whatever runs is cut off, and said to be so where a link is left. */
+    /** Closes immediately. Running requests are interrupted, and reported as failed on links that are still open. */
     async close(): Promise<void> {
         if (this.closed) {
             return;
@@ -226,7 +226,7 @@
     }
 
     private receive(message: Message, link: Link): void {
-        if (!isTakenFrom(link.peer.role, message.type)) {
+        if (!isAcceptedFrom(link.peer.role, message.type)) {
             this.context.metrics.dropped?.(message.type);
             return;
         }
@@ -269,7 +269,7 @@
         }
     }
 
-    /** Answers new work that arrives after the agent has closed, while its links still live. */
+    /** Refuses new work that arrives on open links after the agent has closed. */
     private refuse(message: Message, link: Link): void {
         switch (message.type) {
             case "open":
@@ -341,7 +341,7 @@
             return;
         }
         if (table.judge(request, epoch) === "new") {
-            // The cancellation overtook the attempt, which must not begin any more.
+            // The cancellation arrived before the attempt, which must not start any more.
             table.end(request, epoch);
         }
     }
@@ -358,7 +358,7 @@
         link.send({ type: "callFailed", request, failure: toWire(reason), load: this.context.load.report() });
     }
 
-    /** Tells the queue the weights of the organisations. */
+    /** Sets the shares of the organisations in the queue. */
     private applyShares(): void {
         const { configuration, queue } = this.context;
         configuration.list("organisation").forEach(({ name, spec }) => queue.setShare(name, spec.share));
--- a/packages/agent/src/lib/AgentContext.ts
+++ b/packages/agent/src/lib/AgentContext.ts
@@ -16,18 +16,18 @@
 import { type EngineActivity } from "./stage/EngineActivity.js";
 
 /**
- * Figures that an agent gives away for metrics, each when it is known. All times are in milliseconds.
+ * Callbacks through which an agent reports its metrics. All durations are in milliseconds.
  *
  * @public
  */
 export interface AgentMetrics {
-    /** From the start of a request to its first token. */
+    /** Reports the duration from the start of a request to its first token. */
     readonly firstToken?: (duration: number) => void;
-    /** Between two tokens of one stream. */
+    /** Reports the duration between two tokens of one stream. */
     readonly tokenInterval?: (duration: number) => void;
-    /** A message that came late, twice or from an old attempt, and was dropped. */
+    /** Reports the type of a message that was dropped as late, repeated, unexpected or from a superseded attempt. */
     readonly dropped?: (type: string) => void;
-    /** An attempt ended here in this way. */
+    /** Reports the state in which an attempt ended at this agent. */
     readonly attemptEnded?: (state: string) => void;
 }
 
@@ -37,20 +37,20 @@
     readonly version: string;
 }
 
-/** An attempt that the table of the agent holds. @internal */
+/** An attempt in the {@link AttemptTable} of the agent. @internal */
 export interface Attempt extends TableAttempt {
-    /** Stops for good because the agent closes. */
+    /** Stops the attempt because the agent closes. */
     abandon(): void;
-    /** Asks the attempt to end soon, so that its request goes on elsewhere. */
+    /** Requests that the attempt ends soon, so that its request continues on another chain. */
     handOver(): void;
-    /** The model version that the attempt runs on or waits for, if any. */
+    /** The model version that the attempt uses or waits for, if any. */
     readonly uses: ModelVersion | undefined;
-    /** True while the attempt runs or waits, so that ending now would cut a request off. */
+    /** True while the attempt runs or waits, so that ending it now would interrupt a request. */
     readonly active: boolean;
 }
 
 /**
- * What the parts of one agent share.
+ * The components and settings that the parts of one agent share.
  *
  * @internal
  */
--- a/packages/agent/src/lib/AgentSettings.ts
+++ b/packages/agent/src/lib/AgentSettings.ts
@@ -1,63 +1,64 @@
 /**
- * Numbers that tune an agent. Each has a default; docs/design/pipeline.md says when to change one.
+ * Settings of an agent. Each has a default; docs/design/pipeline.md describes when to change one.
  *
  * @public
  */
 export interface AgentSettings {
-    /** Positions of the prompt that run in one step, so that a long prompt keeps several stages busy. */
+    /** Prompt positions that are processed in one step, so that a long prompt keeps several stages busy. */
     readonly prefillChunk: number;
-    /** How many token bounds a step of one position may take before the engine is asked for a sign of life. */
+    /** Timeout of a step of one position, as a multiple of the token bound. After it the engine's health is checked. */
     readonly stepPatience: number;
-    /** How many token bounds the head waits for a token before it asks which stage is at fault. */
+    /** Timeout for a token at the head, as a multiple of the token bound. After it the head queries the stages. */
     readonly silencePatience: number;
-    /** Milliseconds below which no step or silence timeout falls, whatever the token bound. */
+    /** Lower limit in milliseconds of the step and silence timeouts, whatever the token bound. */
     readonly minimumTimeout: number;
-    /** Milliseconds for a stage to answer how far it is, when a token does not come. */
+    /** Timeout in milliseconds of the state query to a stage after a token did not arrive. */
     readonly stateTimeout: number;
-    /** Milliseconds in which an engine whose step takes too long must answer a question, or counts as hung. */
+    /** Milliseconds in which an engine whose step timed out must answer a health check, or else counts as hung. */
     readonly engineAnswerTime: number;
-    /** The share of the bound on the first token that all stages together may take to get ready. */
+    /** Fraction of the first-token bound within which all stages must have joined. */
     readonly joinShare: number;
-    /** Milliseconds to fetch a KV cache from another agent before the prompt is computed again instead. */
+    /** Timeout in milliseconds of a KV cache import from another agent. After it the prompt is recomputed instead. */
     readonly importTimeout: number;
     /** Milliseconds for which the KV cache of a failed attempt stays exportable. */
     readonly retainCache: number;
-    /** Milliseconds to wait for a missing frame while later ones are held. */
+    /** Milliseconds to wait for a missing frame while later ones are buffered. */
     readonly gapTimeout: number;
-    /** Frames that may be held behind a gap. */
+    /** Maximum number of frames that are buffered behind a missing one. */
     readonly heldFrames: number;
-    /** Positions of a prompt that a stage may be ahead of the next one. */
+    /** Maximum number of prompt positions by which a stage may be ahead of the next stage. */
     readonly frameWindow: number;
-    /** Bytes queued on a link from which on no further prompt chunk is run for it. */
+    /** Bytes queued on a link above which no further prompt chunk is run and no further answer is read for it. */
     readonly linkHighWater: number;
-    /** Attempts of later stages that may be open at once, for each slot of the engine. */
+    /** Maximum number of concurrent attempts of later stages, per slot of the engine. */
     readonly attemptsPerSlot: number;
-    /** Finished requests whose epoch is remembered, and for how many milliseconds. */
+    /** Maximum number of finished requests whose epoch is remembered, and for how many milliseconds. */
     readonly finishedRequests: number;
     readonly finishedRetention: number;
-    /** Claims that are remembered besides those that run, and milliseconds for which. Older ones count as unknown. */
+    /** Maximum number of stopped claims that are remembered, and for how many milliseconds. Older ones are unknown. */
     readonly claims: number;
     readonly claimRetention: number;
-    /** Bytes of answers kept for duplicates, and milliseconds for which. */
+    /** Bytes of answers that are kept for duplicates, and for how many milliseconds. */
     readonly claimBytes: number;
     readonly claimAnswerRetention: number;
-    /** Bytes of answers that a target that leaves writes down for duplicates, and milliseconds for which they stay. */
+    /** Bytes of answers that a leaving target stores for duplicates, and for how many milliseconds they are kept. */
     readonly leftClaimBytes: number;
     readonly leftClaimRetention: number;
     /** Milliseconds between two load reports on a link that carries traffic. */
     readonly loadInterval: number;
-    /** Bytes per second that load reports on their own may take, over all links; see docs/CAPACITY.md. */
+    /** Bytes per second, over all links, for load reports sent as separate messages; see docs/CAPACITY.md. */
     readonly loadBytesPerSecond: number;
-    /** Milliseconds between two looks at the engine's cache events; 0 for none, so that reports say nothing of the cache. */
+    /** Milliseconds between two polls of the engine's cache events; 0 disables them, and reports omit the cache. */
     readonly cachePollInterval: number;
-    /** Milliseconds after leaving from which on running requests are handed over, and the hard limit. */
+    /** Milliseconds after the start of leaving at which running requests are handed over to other chains. */
     readonly handOverAfter: number;
-    /** Milliseconds for which a target that leaves stays at least, to refuse what was on its way. */
+    /** Minimum milliseconds for which a leaving target stays up, to refuse requests that were in flight. */
     readonly leaveLinger: number;
+    /** Milliseconds after the start of leaving at which the remaining requests are interrupted. */
     readonly drainLimit: number;
-    /** Milliseconds after the announcement from which on the target may accept no new work; for the history. */
+    /** Milliseconds after the leaving announcement from which the target may accept no new work; for the history. */
     readonly leavingBound: number;
-    /** Bytes in one piece of a plain service's answer, and bytes of an answer that are kept for duplicates. */
+    /** Bytes in one piece of a plain service's answer, and bytes of one answer that are kept for duplicates. */
     readonly replyPiece: number;
     readonly replyMemory: number;
 }
--- a/packages/agent/src/lib/AttemptTable.ts
+++ b/packages/agent/src/lib/AttemptTable.ts
@@ -1,16 +1,16 @@
 import { type Clock } from "@waxwingspar/utils";
 
-/** What the table does with an attempt when a newer one arrives. @internal */
+/** An attempt that an {@link AttemptTable} can supersede. @internal */
 export interface TableAttempt {
     readonly epoch: number;
-    /** A newer attempt of the same request has arrived at this agent. */
+    /** Ends the attempt because a newer one of the same request has arrived at this agent. */
     supersede(): void;
 }
 
 /** @internal */
 export interface AttemptTableOptions {
     readonly clock: Clock;
-    /** Finished requests that are remembered at most. */
+    /** Maximum number of finished requests that are remembered. */
     readonly limit: number;
     /** Milliseconds for which they are remembered. */
     readonly retention: number;
@@ -18,47 +18,47 @@
 
 interface Entry<Attempt> {
     readonly epoch: number;
-    /** Undefined once the attempt has ended; only ended ones are forgotten. */
+    /** Undefined once the attempt has ended; only ended ones are evicted. */
     readonly attempt: Attempt | undefined;
 }
 
 /**
- * The highest epoch seen of every request, also of those that ended a short time ago, so that whatever arrives late for
- * an older attempt is refused.
+ * Tracks the highest epoch seen for each open or recently ended request, so that late messages of an older attempt are
+ * refused.
  *
  * @internal
  */
 export class AttemptTable<Attempt extends TableAttempt> {
     private readonly entries = new Map<string, Entry<Attempt>>();
-    /** Requests in the order in which they ended. A request may stand here and be open again. */
+    /** The time at which each request ended, in the order of the ends. */
     private readonly ended = new Map<string, number>();
 
     constructor(private readonly options: AttemptTableOptions) {}
 
-    /** Attempts that are open. */
+    /** The open attempts. */
     get open(): Attempt[] {
         const attempts: Attempt[] = [];
         this.entries.forEach(entry => entry.attempt !== undefined && attempts.push(entry.attempt));
         return attempts;
     }
 
-    /** How many attempts are open. */
+    /** The number of open attempts. */
     get openCount(): number {
         return this.entries.size - this.ended.size;
     }
 
-    /** Requests that are remembered, open ones included. */
+    /** The number of remembered requests, including open ones. */
     get size(): number {
         return this.entries.size;
     }
 
-    /** The open attempt with exactly this epoch. */
+    /** Returns the open attempt with exactly this epoch. */
     find(request: string, epoch: number): Attempt | undefined {
         const attempt = this.entries.get(request)?.attempt;
         return attempt?.epoch === epoch ? attempt : undefined;
     }
 
-    /** Tells whether an attempt may begin: `stale` below the highest epoch seen, `repeat` at it. */
+    /** Classifies an attempt by the highest epoch seen: `new` above it, `repeat` at it, `stale` below it. */
     judge(request: string, epoch: number): "new" | "repeat" | "stale" {
         const highest = this.entries.get(request)?.epoch ?? -1;
         if (epoch > highest) {
@@ -67,7 +67,7 @@
         return epoch === highest ? "repeat" : "stale";
     }
 
-    /** Enters an attempt that was judged new, and supersedes an older one that is still open. */
+    /** Adds an attempt that was classified as new, and supersedes an older one that is still open. */
     begin(request: string, attempt: Attempt): void {
         const older = this.entries.get(request)?.attempt;
         this.entries.set(request, { epoch: attempt.epoch, attempt });
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Ends an attempt, or notes that one was refused or cancelled before it arrived. */
+    /** Records that an attempt has ended, was refused, or was cancelled before it arrived. */
     end(request: string, epoch: number): void {
         const entry = this.entries.get(request);
         if (entry !== undefined && entry.epoch > epoch) {
@@ -93,10 +93,10 @@
         this.entries.set(request, { epoch, attempt: undefined });
         this.ended.delete(request);
         this.ended.set(request, now);
-        this.forgetOld(now);
+        this.evictOld(now);
     }
 
-    private forgetOld(now: number): void {
+    private evictOld(now: number): void {
         for (const [request, endedAt] of this.ended) {
             if (this.ended.size <= this.options.limit && now - endedAt <= this.options.retention) {
                 return;
--- a/packages/agent/src/lib/Drain.ts
+++ b/packages/agent/src/lib/Drain.ts
@@ -3,24 +3,25 @@
 /** @internal */
 export interface DrainOptions {
     readonly clock: Clock;
-    /** Requests that would be cut off if the agent closed now. */
+    /** Returns the number of requests that would be interrupted if the agent closed now. */
     readonly active: () => number;
-    /** Asks what runs to go on elsewhere. */
+    /** Asks running attempts to end, so that their requests continue on other chains. */
     readonly handOver: () => void;
-    /** True while KV caches of ended attempts may still be fetched. */
+    /** Returns true while other agents may still fetch KV caches of ended attempts. */
     readonly exporting: () => boolean;
-    /** Milliseconds for which the agent stays at least, to refuse what was on its way when it announced its leaving. */
+    /** Minimum milliseconds for which the agent stays up, to refuse requests in flight at its announcement. */
     readonly linger: number;
+    /** Milliseconds after which running requests are handed over. */
     readonly handOverAfter: number;
-    /** Milliseconds after which the rest is cut off. */
+    /** Milliseconds after which the remaining requests are interrupted. */
     readonly limit: number;
 }
 
-/** Milliseconds between two looks at what still runs. */
+/** Milliseconds between two checks for requests that still run. */
 const pollInterval = 20;
 
 /**
- * Waits until nothing runs any more; after a while it hands over what does.
+ * Waits until no request runs any more, and hands over requests that run for too long.
  *
  * @internal
  */
@@ -31,31 +32,31 @@
     constructor(private readonly options: DrainOptions) {}
 
     /**
-     * Waits for the end.
+     * Waits until all requests have ended or the limit has passed.
      *
-     * @returns How many requests still ran when the hard limit passed; 0 otherwise.
+     * @returns The number of requests that still ran when the limit passed; 0 otherwise.
      */
     wait(): Promise<number> {
         const startedAt = this.options.clock.now();
-        return new Promise(resolve => this.look(startedAt, resolve));
+        return new Promise(resolve => this.poll(startedAt, resolve));
     }
 
     stop(): void {
         this.timer?.cancel();
     }
 
-    private look(startedAt: number, resolve: (interrupted: number) => void): void {
+    private poll(startedAt: number, resolve: (interrupted: number) => void): void {
         const { clock, active, exporting, linger, limit, handOver, handOverAfter } = this.options;
         const passed = clock.now() - startedAt;
-        const left = active();
-        if ((left === 0 && !exporting() && passed >= linger) || passed >= limit) {
-            resolve(left);
+        const remaining = active();
+        if ((remaining === 0 && !exporting() && passed >= linger) || passed >= limit) {
+            resolve(remaining);
             return;
         }
         if (passed >= handOverAfter && !this.handedOver) {
             this.handedOver = true;
             handOver();
         }
-        this.timer = clock.schedule(() => this.look(startedAt, resolve), pollInterval);
+        this.timer = clock.schedule(() => this.poll(startedAt, resolve), pollInterval);
     }
 }
--- a/packages/agent/src/lib/HeldModels.ts
+++ b/packages/agent/src/lib/HeldModels.ts
@@ -2,7 +2,7 @@
 import { type Failure, failure, type Outcome, requestCodes } from "@waxwingspar/utils";
 import { guarded } from "./guarded.js";
 
-/** A part of a model version that some work needs. @internal */
+/** The layers of a model version that a request needs. @internal */
 export interface NeededLayers {
     readonly model: string;
     readonly version: string;
@@ -12,8 +12,8 @@
 }
 
 /**
- * What the engine holds, as it last said. It is asked again after each order, and when work needs layers that it did
- * not hold: another way of loading may have put them there.
+ * Caches the models that the engine holds. The engine is queried again after each order, and when a request needs
+ * layers that it did not hold before, since they may have been loaded by other means than an order.
  *
  * @internal
  */
@@ -23,18 +23,18 @@
 
     constructor(private readonly engine: Engine) {}
 
-    /** Requests that the engine runs in one batch; 1 before it has been asked. */
+    /** Number of requests that the engine runs in one batch; 1 until the engine has been queried. */
     get slots(): number {
         return this.info?.slots ?? 1;
     }
 
-    /** Asks the engine. Calls at the same time share one question. */
+    /** Queries the engine. Concurrent calls share one query. */
     refresh(): Promise<Outcome<EngineInfo>> {
-        this.pending ??= this.ask();
+        this.pending ??= this.queryEngine();
         return this.pending;
     }
 
-    /** Tells at once whether the engine is known to hold the layers. */
+    /** Returns true if the engine held the layers when it was last queried. */
     holds(needed: NeededLayers): boolean {
         return this.info?.held.some(held =>
             held.model === needed.model
@@ -45,7 +45,7 @@
         ) === true;
     }
 
-    /** Checks that the engine holds the layers, and asks it when it seems not to. Undefined means that it does. */
+    /** Returns undefined if the engine holds the layers, else a failure. Queries the engine if the cache lacks them. */
     async check(needed: NeededLayers): Promise<Failure | undefined> {
         if (this.holds(needed)) {
             return undefined;
@@ -57,7 +57,7 @@
         return this.holds(needed) ? undefined : failure(requestCodes.wrongTarget, describe(needed));
     }
 
-    private async ask(): Promise<Outcome<EngineInfo>> {
+    private async queryEngine(): Promise<Outcome<EngineInfo>> {
         const outcome = await guarded(() => this.engine.info());
         this.pending = undefined;
         if (outcome.isOk) {
@@ -69,5 +69,5 @@
 
 function describe({ model, version, adapter, first, last }: NeededLayers): string {
     const suffix = adapter === undefined ? "" : ` with adapter ${adapter}`;
-    return `not held here: ${model} ${version}${suffix}, layers ${first} to ${last}`;
+    return `the engine does not hold ${model} ${version}${suffix}, layers ${first} to ${last}`;
 }
--- a/packages/agent/src/lib/LinkWatch.ts
+++ b/packages/agent/src/lib/LinkWatch.ts
@@ -1,20 +1,20 @@
 import { type Link } from "@waxwingspar/transport";
 
 /**
- * Tells attempts that a link has closed. A link takes close handlers for good, so that each attempt must not add its
- * own; here one handler serves all attempts of a link, and an attempt can take itself out.
+ * Notifies attempts when a link closes. Close handlers of a link cannot be removed, so this class adds one handler per
+ * link that serves all attempts, and lets each attempt remove its own watch.
  *
  * @internal
  */
 export class LinkWatch {
     private readonly watchers = new Map<Link, Set<() => void>>();
 
-    /** Every open link that is watched or was added. */
+    /** The open links that have been added or watched. */
     get links(): IterableIterator<Link> {
         return this.watchers.keys();
     }
 
-    /** Starts to follow a link. Adding it again does nothing. */
+    /** Adds a link. Adding it again has no effect. */
     add(link: Link): void {
         if (this.watchers.has(link) || !link.open) {
             return;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Runs a function once when the link has closed; later in this turn if it already has.
+     * Calls a handler once when the link closes. If it is already closed, the handler runs in a microtask.
      *
-     * @returns A function that ends the watch.
+     * @returns A function that removes the watch.
      */
     watch(link: Link, handler: () => void): () => void {
         if (!link.open) {
@@ -37,7 +37,7 @@
             };
         }
         this.add(link);
-        // A new function each time, so that one handler may watch the same link twice.
+        // Wrapped in a new function, so that the same handler may watch a link twice.
         const entry = (): void => handler();
         this.watchers.get(link)?.add(entry);
         return () => void this.watchers.get(link)?.delete(entry);
--- a/packages/agent/src/lib/claims/AgentClaims.ts
+++ b/packages/agent/src/lib/claims/AgentClaims.ts
@@ -4,13 +4,13 @@
 import { type CallClaims } from "../service/CallSink.js";
 import { type AnswerClaims } from "./AnswerRecord.js";
 import { ClaimTable, type ClaimTableOptions } from "./ClaimTable.js";
-import { collectLeftClaims } from "./collectLeftClaims.js";
+import { collectFinalClaims } from "./collectLeftClaims.js";
 
-/** Writes down what became of the claims of an agent that has left. @public */
-export type WriteLeftClaims = (left: FinalClaims) => Promise<Outcome<void>>;
+/** Stores the final state of the claims of an agent that has left. @public */
+export type WriteLeftClaims = (finalClaims: FinalClaims) => Promise<Outcome<void>>;
 
 /**
- * Every claim of one agent: those of model requests and those of plain calls.
+ * All claims of one agent: those of model requests and those of plain calls.
  *
  * @internal
  */
@@ -27,27 +27,27 @@
         this.calls = new ClaimTable(this.tableOptions(undefined));
     }
 
-    /** Lists the claims that have begun here, and bars the others of the request's range. */
+    /** Lists the claims in the request's range that have started here, and blocks the others in that range. */
     report(request: ReportRequest): readonly ReportedClaim[] {
         const reported = [...this.answers.report(request), ...this.calls.report(request)];
         const { log, target } = this.context;
-        log.info({ target, ...request, reported: reported.length }, "agent: claims told, earlier ones barred");
+        log.info({ target, ...request, reported: reported.length }, "agent: claims reported, unstarted ones blocked");
         return reported;
     }
 
-    /** Writes down what became of the claims. Only once nothing can run any more; what was cut off is interrupted. */
-    async writeDown(): Promise<void> {
+    /** Stores the final state of the claims; cut-off requests count as interrupted. Call only once nothing can run. */
+    async persist(): Promise<void> {
         const { incarnation, context: { clock, log, settings, target } } = this;
-        const left = collectLeftClaims({
+        const finalClaims = collectFinalClaims({
             runner: { target, incarnation },
             calls: this.calls,
             answers: this.answers,
             bytes: settings.leftClaimBytes,
             until: clock.date().getTime() + settings.leftClaimRetention,
         });
-        const written = await this.write?.(left);
+        const written = await this.write?.(finalClaims);
         if (written?.isErr === true) {
-            log.warn({ code: written.error.code.number }, "agent: claims not written down, duplicates get unknown");
+            log.warn({ code: written.error.code.number }, "agent: claims not stored, duplicates get unknown");
         }
     }
 
--- a/packages/agent/src/lib/claims/AnswerRecord.ts
+++ b/packages/agent/src/lib/claims/AnswerRecord.ts
@@ -6,7 +6,7 @@
 import { type ClaimFollower, type ClaimRecord } from "./ClaimRecord.js";
 import { type ClaimTable } from "./ClaimTable.js";
 
-/** Bytes that a kept token takes besides its text, about. */
+/** Approximate bytes of memory that a kept token takes in addition to its text. */
 const tokenOverhead = 24;
 
 /** The claims of model requests. @internal */
@@ -16,15 +16,15 @@
 export type AnswerRecord = ClaimRecord<AnswerToken, AnswerEnd>;
 
 /**
- * Writes the answer of a claimed request into its record, from where it reaches everyone who asked. It never asks the
- * run to wait: the run goes to its end whether or not anybody listens.
+ * Appends the answer of a claimed request to its record, which forwards it to all followers. It applies no
+ * backpressure: the request runs to its end even without followers.
  *
  * @internal
  */
 export class RecordSink implements AnswerSink {
     readonly ready = true;
 
-    /** @param owner - The stream of the entry that started this attempt; it alone learns which target is at fault. */
+    /** @param owner - The stream of the entry that started this attempt; only it receives the target at fault. */
     constructor(
         private readonly claims: AnswerClaims,
         private readonly record: AnswerRecord,
@@ -52,7 +52,7 @@
     }
 }
 
-/** Passes a record on to the stream of one entry. @internal */
+/** Creates a follower that forwards a record to the stream of one entry. @internal */
 export function followWith(stream: EntryStream): ClaimFollower<AnswerToken, AnswerEnd> {
     return {
         item: token => stream.token(token),
--- a/packages/agent/src/lib/claims/ClaimRecord.ts
+++ b/packages/agent/src/lib/claims/ClaimRecord.ts
@@ -1,11 +1,11 @@
 import { type Failure } from "@waxwingspar/utils";
 
 /**
- * What has become of a claimed request in this incarnation.
+ * The state of a claimed request in this incarnation.
  *
  * - `running`: it runs now.
- * - `interrupted`: it ran in part; only the same request may continue it.
- * - `ended`: it ran to its end, and the answer is kept.
+ * - `interrupted`: it ran partially; only the same request may continue it.
+ * - `ended`: it completed, and the answer is kept.
  * - `forgotten`: it ran, but its answer is no longer kept.
  * - `refused`: it did not run and never will here.
  *
@@ -13,29 +13,29 @@
  */
 export type ClaimState = "running" | "interrupted" | "ended" | "forgotten" | "refused";
 
-/** Takes the answer of a claimed request: what is there already, and what follows. @internal */
+/** Receives the answer of a claimed request: the items so far, and those that follow. @internal */
 export interface ClaimFollower<Item, End> {
     item(item: Item): void;
     end(end: End): void;
-    /** The request was interrupted or refused. */
+    /** Called when the request was interrupted or refused. */
     failed(reason: Failure): void;
 }
 
 /**
- * The answer of one claimed request as it grows, for everyone who asked for it.
+ * The growing answer of one claimed request, which is forwarded to its followers.
  *
  * @internal
  */
 export class ClaimRecord<Item, End> {
     state: ClaimState = "running";
-    /** True once it has gone on after an interruption. */
+    /** True once the request was resumed after an interruption. */
     resumed = false;
-    /** Bytes that the kept answer takes, about. */
+    /** Approximate bytes of the kept answer. */
     bytes = 0;
-    /** The reason, once refused or interrupted. */
+    /** The reason of the refusal or interruption. */
     reason: Failure | undefined;
-    /** When it last left the state `running`. */
-    changedAt = 0;
+    /** The clock's time at which the record last left the state `running`. */
+    stoppedAt = 0;
     private isTruncated = false;
     private kept: Item[] = [];
     private result: End | undefined;
@@ -56,7 +56,7 @@
         return this.isTruncated;
     }
 
-    /** Stops keeping the answer; whoever follows it already still gets the rest. */
+    /** Stops keeping the answer; current followers still receive the rest. */
     truncate(): void {
         this.isTruncated = true;
         this.kept = [];
@@ -78,7 +78,7 @@
         this.followers.clear();
     }
 
-    /** Ends the run without a whole answer. */
+    /** Ends the run without a complete answer. */
     stop(state: "interrupted" | "refused", reason: Failure): void {
         this.state = state;
         this.reason = reason;
@@ -86,7 +86,7 @@
         this.followers.clear();
     }
 
-    /** Drops the answer and remembers only that there was one. */
+    /** Drops the answer and remembers only that the request ran. */
     forget(): void {
         this.state = "forgotten";
         this.kept = [];
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Hands over the answer from an item on, now and as it grows. Only while running or ended.
+     * Forwards the answer from an item on, now and as it grows. May be called only in the states `running` and `ended`.
      *
-     * @returns A function that ends it.
+     * @returns A function that removes the follower.
      */
     follow(follower: ClaimFollower<Item, End>, from = 0): () => void {
         this.kept.slice(from).forEach(item => follower.item(item));
--- a/packages/agent/src/lib/claims/ClaimTable.test.ts
+++ b/packages/agent/src/lib/claims/ClaimTable.test.ts
@@ -42,7 +42,10 @@
     const table = createTable();
     assert.equal(codeOf(table, use("k", "r1", "i1")), requestCodes.outcomeUnknown.number);
     assert.equal(codeOf(table, use("k", "r1", "i2", "t2")), requestCodes.outcomeUnknown.number);
-    assert.equal(codeOf(table, { ...use("k", "r1"), organisation: "depots" }), requestCodes.outcomeUnknown.number);
+    assert.equal(
+        codeOf(table, { ...use("k", "r1"), organisation: "depots" }),
+        requestCodes.outcomeUnknown.number,
+    );
     assert.equal(codeOf(table, { ...use("k", "r1"), claim: "nonsense" }), requestCodes.malformed.number);
     assert.equal(table.size, 0);
 });
@@ -57,12 +60,15 @@
     assert.equal(codeOf(table, use("l", "r3")), requestCodes.overloaded.number);
 });
 
-// The store may have lost the claim, and another runner may have been given the request since.
+// The store may have lost the claim and assigned the request to another runner.
 test("a claim that comes after this agent has reported without it is refused as not run, and never runs", () => {
     const table = createTable();
     const series = (key: string, generation: number): ClaimUse => {
         const identity = { route: "demo", organisation: "ports", keyHash: shortHash(key), series: "p1", generation };
-        return { ...use(key, key), claim: encodeClaim({ ...identity, runner: { target: "t1", incarnation: "i2" } }) };
+        return {
+            ...use(key, key),
+            claim: encodeClaim({ ...identity, runner: { target: "t1", incarnation: "i2" } }),
+        };
     };
     const begun = admit(table, series("begun", 4)).record;
     table.refuse(series("refused", 5), failure(requestCodes.overloaded, "full"));
@@ -76,7 +82,7 @@
     assert.equal(admit(table, use("another series", "r")).action, "run");
 });
 
-test("an interrupted claim goes on for its own request only", () => {
+test("an interrupted claim is resumed only for its own request", () => {
     const table = createTable();
     const { record } = admit(table, use("k", "r1"));
     table.interrupted(record, failure(requestCodes.stageLost, "lost"));
@@ -86,7 +92,7 @@
     assert.equal(admit(table, use("k", "r1")).action, "run");
 });
 
-test("answers are dropped before claims are", () => {
+test("answers are evicted before claims", () => {
     const table = createTable({ bytes: 100 });
     const first = admit(table, use("k1", "r1")).record;
     first.append("x", 80);
@@ -101,12 +107,20 @@
     assert.equal(codeOf(table, use("k2", "r4")), requestCodes.outcomeUnknown.number);
     assert.equal(table.answerBytes, 0);
     clock.advance(100_000);
-    assert.equal(codeOf(table, use("k1", "r5")), requestCodes.outcomeUnknown.number, "the claim is forgotten as well");
+    assert.equal(
+        codeOf(table, use("k1", "r5")),
+        requestCodes.outcomeUnknown.number,
+        "the claim is evicted as well",
+    );
     assert.equal(table.size, 0);
-    assert.equal(admit(table, use("k1", "r5", "i2", "t1", 1)).action, "run", "a later claim of the key is another one");
+    assert.equal(
+        admit(table, use("k1", "r5", "i2", "t1", 1)).action,
+        "run",
+        "a later claim of the same key is a new one",
+    );
 });
 
-test("a full table forgets the oldest claim, and never runs what it may have forgotten", () => {
+test("a full table evicts the oldest claim, and never runs a claim that it may have evicted", () => {
     const table = createTable({ limit: 2 });
     const running = admit(table, use("k0", "r0")).record;
     for (const generation of [1, 2, 3, 4]) {
@@ -114,16 +128,20 @@
         record.append("x", 1);
         table.ended(record, "end");
     }
-    assert.equal(table.size, 3, "two that ended, and the one that runs");
+    assert.equal(table.size, 3, "two ended claims and the running one");
     assert.equal(codeOf(table, use("k1", "r2", "i2", "t1", 1)), requestCodes.outcomeUnknown.number);
     assert.equal(codeOf(table, use("k2", "r2", "i2", "t1", 2)), requestCodes.outcomeUnknown.number);
     assert.equal(admit(table, use("k3", "r2", "i2", "t1", 3)).action, "follow");
-    assert.equal(codeOf(table, use("k9", "r2", "i2", "t1", 2)), requestCodes.outcomeUnknown.number, "as old as those");
+    assert.equal(
+        codeOf(table, use("k9", "r2", "i2", "t1", 2)),
+        requestCodes.outcomeUnknown.number,
+        "as old as the evicted claims",
+    );
     assert.equal(admit(table, use("k9", "r2", "i2", "t1", 5)).action, "run");
     assert.equal(running.state, "running");
 });
 
-test("whatever happens, a claim that ended or was refused is never run again", () => {
+test("a claim that ended or was refused never runs again in any order of events", () => {
     const step = fc.record({
         key: fc.constantFrom("k1", "k2", "k3"),
         request: fc.constantFrom("r1", "r2"),
--- a/packages/agent/src/lib/claims/ClaimTable.ts
+++ b/packages/agent/src/lib/claims/ClaimTable.ts
@@ -14,33 +14,33 @@
     readonly target: string;
     readonly incarnation: string;
     readonly clock: Clock;
-    /** Claims that are remembered at most, besides those that run. */
+    /** Maximum number of stopped claims that are remembered. */
     readonly limit: number;
-    /** Bytes of answers that are kept at most, over all claims. */
+    /** Maximum bytes of answers that are kept, over all claims. */
     readonly bytes: number;
     /** Milliseconds for which an answer is kept for duplicates. */
     readonly answerRetention: number;
     /** Milliseconds for which a claim is remembered. */
     readonly retention: number;
     /**
-     * Milliseconds for which an interrupted request is expected to be continued. Undefined when that never happens,
-     * since what was begun cannot be taken up again.
+     * Milliseconds within which an interrupted request is expected to be resumed. Undefined if requests of this kind
+     * cannot be resumed.
      */
     readonly resumeWindow: number | undefined;
 }
 
-/** Who asks under a claim. @internal */
+/** A request under a claim. @internal */
 export interface ClaimUse {
     readonly claim: string;
     readonly request: string;
-    /** The model or service, which must be that of the claim. */
+    /** The requested model or service, which must match the claim. */
     readonly route: string;
     readonly organisation: string;
 }
 
 /**
- * What to do with a request under a claim: `run` it (for the first time, or to continue it), or `follow` the answer of
- * the one that runs or ran.
+ * How to handle a request under a claim: `run` it (for the first time, or to resume it), or `follow` the answer of the
+ * request that runs or ran under the same claim.
  *
  * @internal
  */
@@ -50,20 +50,21 @@
 }
 
 /**
- * Runs every claimed request at most once in this incarnation of the agent, and answers duplicates from memory. What it
- * has forgotten, answers first and then claims, it treats as unknown and never runs.
+ * Ensures that each claimed request runs at most once in this incarnation of the agent, and answers duplicates from
+ * memory. Answers are evicted before claims; a request whose claim or answer may have been evicted gets an unknown
+ * outcome and never runs.
  *
  * @internal
  */
 export class ClaimTable<Item, End> {
     private readonly records = new Map<string, ClaimRecord<Item, End>>();
-    /** Claims that do not run, in the order in which they stopped. */
-    private readonly settled = new Set<ClaimRecord<Item, End>>();
-    /** The part of them whose answers are kept. */
+    /** Claims that are not running, in the order in which they stopped. */
+    private readonly stopped = new Set<ClaimRecord<Item, End>>();
+    /** The stopped claims whose answers are kept. */
     private readonly answered = new Set<ClaimRecord<Item, End>>();
     private readonly forgotten = new ForgottenClaims();
-    /** For each series the generation below which a claim is refused that has not begun here. */
-    private readonly barred = new Map<string, number>();
+    /** For each series, the generation below which claims that have not started here are refused. */
+    private readonly blockedBelow = new Map<string, number>();
     private keptBytes = 0;
 
     constructor(private readonly options: ClaimTableOptions) {}
@@ -77,23 +78,23 @@
         return this.keptBytes;
     }
 
-    /** Decides about a request, and records the claim before anything runs. */
+    /** Decides how to handle a request, and records its claim before anything runs. */
     admit(use: ClaimUse): Result<ClaimDecision<Item, End>, Failure> {
         const refusal = this.checkRunner(use);
         if (refusal !== undefined) {
             return Result.err(refusal);
         }
-        this.forgetOld();
+        this.evictOld();
         const record = this.records.get(use.claim);
         return record === undefined ? this.create(use) : this.decide(record, use);
     }
 
-    /** True when this agent may have run the claim before, so that the request is not new work. */
+    /** Returns true if the claim is recorded here or may have been evicted, so that the request may not be new work. */
     knows(claim: string): boolean {
         return this.records.has(claim) || this.forgotten.mayInclude(claim);
     }
 
-    /** Remembers a refusal, so that a late copy of the request never runs here. */
+    /** Records a refusal, so that a late duplicate of the request never runs here. */
     refuse(use: ClaimUse, reason: Failure): void {
         if (this.checkRunner(use) !== undefined || this.knows(use.claim)) {
             return;
@@ -104,33 +105,35 @@
     }
 
     /**
-     * Lists the claims of a series below a generation that have begun here. From now on no other of them does: the store may have lost
-     * it, so that another runner may be given the request.
+     * Lists the claims of a series below a generation that have started here, and refuses the others from now on: the
+     * store may have lost such a claim, so that its request may be assigned to another runner.
      */
     report({ series, before }: ReportRequest): ReportedClaim[] {
-        this.barred.set(series, Math.max(before, this.barred.get(series) ?? 0));
-        // Decoding every claim that is remembered would hold up the tokens of all requests.
-        const mark = `/${encodeURIComponent(series)}/`;
-        return [...this.records.values()].filter(({ id }) => id.includes(mark)).flatMap((record): ReportedClaim[] => {
-            const identity = decodeClaim(record.id);
-            if (identity?.series !== series || identity.generation >= before || record.state === "refused") {
-                return [];
-            }
-            const { keyHash, generation, runner } = identity;
-            return [{ keyHash, generation, runner, state: "ran" }];
-        });
+        this.blockedBelow.set(series, Math.max(before, this.blockedBelow.get(series) ?? 0));
+        // Filtered before decoding, as decoding every remembered claim would delay the tokens of all requests.
+        const segment = `/${encodeURIComponent(series)}/`;
+        return [...this.records.values()].filter(({ id }) => id.includes(segment)).flatMap(
+            (record): ReportedClaim[] => {
+                const identity = decodeClaim(record.id);
+                if (identity?.series !== series || identity.generation >= before || record.state === "refused") {
+                    return [];
+                }
+                const { keyHash, generation, runner } = identity;
+                return [{ keyHash, generation, runner, state: "ran" }];
+            },
+        );
     }
 
-    /** The highest forgotten generation of each series. */
+    /** The highest evicted generation of each series. */
     get forgottenClaims(): [series: string, generation: number][] {
         return this.forgotten.entries();
     }
 
-    /** Every remembered claim, the newest first. One that still runs, or may go on, counts as interrupted. */
-    listEnds(): { readonly record: ClaimRecord<Item, End>; readonly end: FinalClaim["end"]; }[] {
-        const running = [...this.records.values()].filter(record => !this.settled.has(record));
-        const records = [...running, ...[...this.settled].reverse()];
-        return records.map(record => ({ record, end: endOf(record.state) }));
+    /** Lists the outcomes of all remembered claims, newest first. Running and resumable ones count as interrupted. */
+    listOutcomes(): { readonly record: ClaimRecord<Item, End>; readonly end: FinalClaim["end"]; }[] {
+        const running = [...this.records.values()].filter(record => !this.stopped.has(record));
+        const records = [...running, ...[...this.stopped].reverse()];
+        return records.map(record => ({ record, end: toOutcome(record.state) }));
     }
 
     ended(record: ClaimRecord<Item, End>, end: End): void {
@@ -142,36 +145,38 @@
             this.answered.add(record);
             this.keptBytes += record.bytes;
         }
-        this.settle(record);
+        this.addStopped(record);
     }
 
     interrupted(record: ClaimRecord<Item, End>, reason: Failure): void {
         record.stop("interrupted", reason);
-        this.settle(record);
+        this.addStopped(record);
     }
 
     refused(record: ClaimRecord<Item, End>, reason: Failure): void {
         record.stop("refused", reason);
-        this.settle(record);
+        this.addStopped(record);
     }
 
-    private settle(record: ClaimRecord<Item, End>): void {
-        record.changedAt = this.options.clock.now();
-        this.settled.delete(record);
-        this.settled.add(record);
-        this.forgetOld();
+    private addStopped(record: ClaimRecord<Item, End>): void {
+        record.stoppedAt = this.options.clock.now();
+        this.stopped.delete(record);
+        this.stopped.add(record);
+        this.evictOld();
     }
 
     private create(use: ClaimUse): Result<ClaimDecision<Item, End>, Failure> {
         if (this.forgotten.mayInclude(use.claim)) {
-            return Result.err(failure(requestCodes.outcomeUnknown, "the agent may have forgotten that it ran"));
+            return Result.err(
+                failure(requestCodes.outcomeUnknown, "the claim may have been evicted after its request ran"),
+            );
         }
         const record = new ClaimRecord<Item, End>(use.claim, use.request);
         this.records.set(use.claim, record);
-        if (this.isBarred(use.claim)) {
+        if (this.isBlocked(use.claim)) {
             const reason = failure(
                 requestCodes.noCapacity,
-                "the claim is older than the copy that the store came back from",
+                "the claim predates the restored copy of the store and has not started here",
             );
             this.refused(record, reason);
             return Result.err(reason);
@@ -179,23 +184,30 @@
         return Result.ok({ action: "run", record });
     }
 
-    private isBarred(claim: string): boolean {
+    private isBlocked(claim: string): boolean {
         const identity = decodeClaim(claim);
-        return identity !== undefined && identity.generation < (this.barred.get(identity.series ?? "") ?? 0);
+        return identity !== undefined && identity.generation < (this.blockedBelow.get(identity.series ?? "") ?? 0);
     }
 
     private decide(record: ClaimRecord<Item, End>, use: ClaimUse): Result<ClaimDecision<Item, End>, Failure> {
         switch (record.state) {
             case "running":
                 return record.truncated
-                    ? Result.err(failure(requestCodes.inProgress, "it runs; its answer is too large to repeat"))
+                    ? Result.err(
+                        failure(
+                            requestCodes.inProgress,
+                            "the request is running; its answer is too large to be kept for duplicates",
+                        ),
+                    )
                     : Result.ok({ action: "follow", record });
             case "ended":
                 return Result.ok({ action: "follow", record });
             case "refused":
                 return Result.err(record.reason ?? failure(requestCodes.noCapacity, "refused before"));
             case "forgotten":
-                return Result.err(failure(requestCodes.outcomeUnknown, "it ran; its answer is no longer kept"));
+                return Result.err(
+                    failure(requestCodes.outcomeUnknown, "the request ran; its answer is no longer kept"),
+                );
             case "interrupted":
                 return this.decideInterrupted(record, use);
         }
@@ -207,72 +219,74 @@
     ): Result<ClaimDecision<Item, End>, Failure> {
         const { resumeWindow, clock } = this.options;
         if (resumeWindow === undefined) {
-            return Result.err(failure(requestCodes.outcomeUnknown, "it was broken off"));
+            return Result.err(
+                failure(requestCodes.outcomeUnknown, "the request was interrupted and cannot be resumed"),
+            );
         }
         if (use.request === record.request) {
             record.state = "running";
             record.resumed = true;
-            this.settled.delete(record);
+            this.stopped.delete(record);
             return Result.ok({ action: "run", record });
         }
-        const recent = clock.now() - record.changedAt < resumeWindow;
+        const recent = clock.now() - record.stoppedAt < resumeWindow;
         return Result.err(
             recent
-                ? failure(requestCodes.inProgress, "it was interrupted and may go on")
-                : failure(requestCodes.outcomeUnknown, "it was interrupted and did not go on"),
+                ? failure(requestCodes.inProgress, "the request was interrupted and may be resumed")
+                : failure(requestCodes.outcomeUnknown, "the request was interrupted and was not resumed in time"),
         );
     }
 
-    /** Only the runner of the claim knows whether it ran. Any other must not say that it did not. */
+    /** Checks that this agent is the runner of the claim. Any other agent cannot tell whether the request ran. */
     private checkRunner({ claim, route, organisation }: ClaimUse): Failure | undefined {
         const identity = decodeClaim(claim);
         if (identity === undefined) {
-            return failure(requestCodes.malformed, "the claim cannot be read");
+            return failure(requestCodes.malformed, "the claim cannot be decoded");
         }
         if (identity.route !== route || identity.organisation !== organisation) {
             return failure(requestCodes.outcomeUnknown, "the claim does not belong to this request");
         }
         const { target, incarnation } = identity.runner;
         if (target !== this.options.target || incarnation !== this.options.incarnation) {
-            return failure(requestCodes.outcomeUnknown, "the claim names another runner, whose memory is not here");
+            return failure(requestCodes.outcomeUnknown, "the claim belongs to another runner or incarnation");
         }
         return undefined;
     }
 
-    /** Drops answers that are too old or too large together, and claims that are too old or too many. */
-    private forgetOld(): void {
+    /** Evicts answers beyond their retention or total size, and claims beyond their retention or number. */
+    private evictOld(): void {
         const now = this.options.clock.now();
         const { answerRetention, bytes, retention, limit } = this.options;
         for (const record of this.answered) {
-            if (now - record.changedAt <= answerRetention && this.keptBytes <= bytes) {
+            if (now - record.stoppedAt <= answerRetention && this.keptBytes <= bytes) {
                 break;
             }
-            this.dropAnswer(record);
+            this.evictAnswer(record);
         }
-        for (const record of this.settled) {
-            if (now - record.changedAt <= retention && this.settled.size <= limit) {
+        for (const record of this.stopped) {
+            if (now - record.stoppedAt <= retention && this.stopped.size <= limit) {
                 break;
             }
-            this.dropClaim(record);
+            this.evictClaim(record);
         }
     }
 
-    private dropAnswer(record: ClaimRecord<Item, End>): void {
+    private evictAnswer(record: ClaimRecord<Item, End>): void {
         if (this.answered.delete(record)) {
             this.keptBytes -= record.bytes;
             record.forget();
         }
     }
 
-    private dropClaim(record: ClaimRecord<Item, End>): void {
-        this.dropAnswer(record);
-        this.settled.delete(record);
+    private evictClaim(record: ClaimRecord<Item, End>): void {
+        this.evictAnswer(record);
+        this.stopped.delete(record);
         this.records.delete(record.id);
         this.forgotten.add(record.id);
     }
 }
 
-function endOf(state: ClaimState): FinalClaim["end"] {
+function toOutcome(state: ClaimState): FinalClaim["end"] {
     switch (state) {
         case "ended":
         case "forgotten":
--- a/packages/agent/src/lib/claims/collectLeftClaims.test.ts
+++ b/packages/agent/src/lib/claims/collectLeftClaims.test.ts
@@ -20,12 +20,12 @@
     return Object.fromEntries(failed.map(({ request, failure }) => [request, failure.code]));
 }
 
-/** An agent beside a service, which writes its claims down when it leaves. */
+/** An agent with a plain service, which stores its claims when it leaves. */
 class LeavingSite {
     readonly site = new TestSite();
     readonly written: FinalClaims[] = [];
     runs = 0;
-    /** Runs while the claims are being written. */
+    /** Called while the claims are being stored. */
     onWrite: () => Promise<void> = () => Promise.resolve();
 
     static async create(
@@ -40,12 +40,12 @@
         await once(server, "listening");
         const { port } = server.address() as AddressInfo;
         const service = { name: "records", baseUrl: `http://127.0.0.1:${port}` };
-        const writeLeftClaims = async (left: FinalClaims): Promise<Result<void, never>> => {
-            created.written.push(left);
+        const writeFinalClaims = async (finalClaims: FinalClaims): Promise<Result<void, never>> => {
+            created.written.push(finalClaims);
             await created.onWrite();
             return Result.ok(undefined);
         };
-        await created.site.start("a", { agent: { service, settings, writeLeftClaims }, slots });
+        await created.site.start("a", { agent: { service, settings, writeLeftClaims: writeFinalClaims }, slots });
         context.after(() => {
             server.closeAllConnections();
             server.close();
@@ -53,7 +53,7 @@
         return created;
     }
 
-    /** Sends a call under a claim; request and key have one name. */
+    /** Sends a call under a claim; the request id is the same as the key. */
     async call(key: string): Promise<void> {
         (await this.site.entry.link("a")).send({
             type: "call",
@@ -81,13 +81,13 @@
         );
     }
 
-    /** Waits for real sockets while the clock of the test moves on by `advance` each turn. */
+    /** Waits for real sockets, advancing the test clock by `advance` milliseconds each turn. */
     async until(condition: () => boolean, advance = 0): Promise<void> {
         for (let turn = 0; turn < 5000 && !condition(); turn++) {
             this.site.clock.advance(advance);
             await new Promise(resolve => setTimeout(resolve, 1));
         }
-        assert.ok(condition(), "it happened in time");
+        assert.ok(condition(), "the condition was met in time");
     }
 
     async leave(): Promise<Map<string | undefined, FinalClaims["claims"][number]>> {
@@ -125,7 +125,7 @@
     const kept = listed.get(claim("k1"));
     assert.deepEqual([kept?.end, kept?.reply?.status, kept?.reply?.headers["x-run"]], ["ran", 201, "1"]);
     assert.equal(Buffer.from(kept?.reply?.body ?? "", "base64").toString(), "run 1");
-    assert.deepEqual(listedBefore, [claim("k1")], "a claim that is absent was not taken before");
+    assert.deepEqual(listedBefore, [claim("k1")], "an unlisted claim was not accepted before");
     assert.equal(failures(site.site.entry)["k2"], requestCodes.stopping.number, "and is refused as not run after");
     assert.equal(site.runs, 1);
 });
@@ -140,7 +140,7 @@
     assert.equal(site.runs, 1);
 });
 
-test("the newest answers are kept up to the limit, and older ones are listed without", async context => {
+test("the newest answers are stored up to the limit, and older claims are listed without answers", async context => {
     const site = await LeavingSite.create(context, response => response.end("x".repeat(600)), { leftClaimBytes: 2500 });
     for (const key of ["k1", "k2", "k3"]) {
         await site.answered(key);
@@ -152,7 +152,7 @@
     assert.deepEqual(kept, [["ran", false], ["ran", true], ["ran", true]]);
 });
 
-test("what the agent has forgotten is said", async context => {
+test("evicted generations are listed", async context => {
     const site = await LeavingSite.create(context, response => response.end("done"), { claims: 1 });
     await site.answered("k1");
     await site.answered("k2");
--- a/packages/agent/src/lib/claims/collectLeftClaims.ts
+++ b/packages/agent/src/lib/claims/collectLeftClaims.ts
@@ -3,25 +3,25 @@
 import { type AnswerClaims } from "./AnswerRecord.js";
 
 /** @internal */
-export interface LeftClaimsInput {
+export interface FinalClaimsInput {
     readonly runner: Runner;
     readonly calls: CallClaims;
     readonly answers: AnswerClaims;
-    /** Bytes of answers that are written down at most. */
+    /** Maximum bytes of answers that are included. */
     readonly bytes: number;
-    /** Milliseconds of the wall clock, after which nobody needs the result. */
+    /** Wall-clock time in milliseconds after which the result is no longer needed. */
     readonly until: number;
 }
 
 /**
- * Lists what an agent that can run nothing more knows about its claims. Answers of plain calls are included, the newest
- * first, up to the limit; those of models are not.
+ * Collects the final state of all claims of an agent that can run nothing more. Answers of plain calls are included,
+ * newest first, up to the limit; those of models are not.
  *
  * @internal
  */
-export function collectLeftClaims({ runner, calls, answers, bytes, until }: LeftClaimsInput): FinalClaims {
+export function collectFinalClaims({ runner, calls, answers, bytes, until }: FinalClaimsInput): FinalClaims {
     let room = bytes;
-    const callEnds = calls.listEnds().map(({ record, end }): FinalClaim => {
+    const callEnds = calls.listOutcomes().map(({ record, end }): FinalClaim => {
         const reply = record.state === "ended" ? replyOf(record) : undefined;
         const size = reply === undefined ? 0 : JSON.stringify(reply).length;
         if (reply === undefined || size > room) {
@@ -30,7 +30,7 @@
         room -= size;
         return { claim: record.id, end, reply };
     });
-    const answerEnds = answers.listEnds().map(({ record, end }): FinalClaim => ({ claim: record.id, end }));
+    const answerEnds = answers.listOutcomes().map(({ record, end }): FinalClaim => ({ claim: record.id, end }));
     return {
         version: 1,
         ...runner,
--- a/packages/agent/src/lib/createContext.ts
+++ b/packages/agent/src/lib/createContext.ts
@@ -12,7 +12,7 @@
 import { LoadMeter } from "./load/LoadMeter.js";
 import { EngineActivity } from "./stage/EngineActivity.js";
 
-/** Puts together what the parts of an agent share. @internal */
+/** Creates the components and settings that the parts of an agent share. @internal */
 export function createContext(options: AgentOptions): AgentContext {
     const { target, engine, pool, queue, configuration } = options;
     const clock = options.clock ?? new SystemClock();
--- a/packages/agent/src/lib/guarded.ts
+++ b/packages/agent/src/lib/guarded.ts
@@ -2,7 +2,8 @@
 import { Result } from "true-myth";
 
 /**
- * Calls the engine. An adapter ought to return its failures; one that throws must not take the agent down with it.
+ * Calls the engine and converts errors to failures. Engine adapters should return failures; one that throws must not
+ * crash the agent.
  *
  * @internal
  */
--- a/packages/agent/src/lib/lateMethods.ts
+++ b/packages/agent/src/lib/lateMethods.ts
@@ -6,22 +6,22 @@
 import { exportMethodName } from "./kv/exportMethod.js";
 import { stateMethodName } from "./stage/stateMethod.js";
 
-/** The JSON-RPC methods of every agent. */
+/** The names of the JSON-RPC methods. */
 const methodNames = [exportMethodName, orderMethodName, stateMethodName];
 
 /**
- * The methods of an agent that does not exist yet: a link pool takes its methods when it is made, and the agent takes
- * the pool.
+ * Creates the JSON-RPC methods of an agent that does not exist yet. They resolve the circular dependency between a link
+ * pool, which needs the methods when it is created, and the agent, which needs the pool.
  *
- * @param agent - Returns the agent, or undefined while there is none; calls are then refused as not run.
+ * @param agent - Returns the agent, or undefined until it is created; calls are then refused as not run.
  * @public
  */
 export function lateMethods(agent: () => Agent | undefined): Readonly<Record<string, RpcMethod>> {
-    const late = (name: string): RpcMethod => async (params, link) => {
+    const createDeferredMethod = (name: string): RpcMethod => async (params, link) => {
         const method = agent()?.methods[name];
         return method === undefined
-            ? Result.err(failure(requestCodes.noCapacity, "the agent is not ready"))
+            ? Result.err(failure(requestCodes.noCapacity, "the agent has not started yet"))
             : method(params, link);
     };
-    return Object.fromEntries(methodNames.map(name => [name, late(name)]));
+    return Object.fromEntries(methodNames.map(name => [name, createDeferredMethod(name)]));
 }
--- a/packages/agent/src/lib/messages.ts
+++ b/packages/agent/src/lib/messages.ts
@@ -1,6 +1,6 @@
 import { type Message } from "@waxwingspar/transport";
 
-/** The message with a certain type. */
+/** The message with the given type. */
 type Typed<Type extends Message["type"]> = Extract<Message, { type: Type; }>;
 
 /** @internal */
--- a/packages/agent/src/lib/modelLimits.ts
+++ b/packages/agent/src/lib/modelLimits.ts
@@ -5,23 +5,24 @@
 const defaultFirstTokenBound = 540;
 
 /**
- * The timeouts of one model, in milliseconds. They follow from its bounds.
+ * The timeouts of one model in milliseconds, derived from its token bounds.
  *
  * @internal
  */
 export interface Timeouts {
     /** The bound on the first token. */
     readonly firstToken: number;
-    /** For every stage to get ready; an import of KV caches takes longer. */
+    /** Timeout for all stages to join; longer if KV caches are imported. */
     join(importing: boolean): number;
-    /** For one step of the engine. */
+    /** Timeout of an engine step of `count` positions. */
     step(count: number): number;
-    /** For the token that a step of so many positions at the head leads to. */
+    /** Timeout for the token that results from a step of `count` positions at the head. */
     silence(count: number): number;
-    /** Beyond this a step or token counts as lost even if the engine or the stages show signs of life. */
+    /** Timeout after which a step or token counts as lost even if the engine or the stages still respond. */
     hard(count: number): number;
 }
 
+/** The ratio of the hard timeout to the silence timeout. */
 const hardFactor = 8;
 
 /** Derives the timeouts of a model. @internal */
@@ -41,7 +42,7 @@
     return { firstToken: firstTokenBound, join, step, silence, hard: count => hardFactor * silence(count) };
 }
 
-/** Tokens of prompt and answer together that a model takes. @internal */
+/** Returns the maximum number of tokens of prompt and answer together for a model. @internal */
 export function contextTokensOf(configuration: Configuration, model: string): number {
     return configuration.get("model", model)?.spec.contextTokens ?? Number.POSITIVE_INFINITY;
 }
--- a/packages/agent/src/lib/peerRoles.ts
+++ b/packages/agent/src/lib/peerRoles.ts
@@ -6,7 +6,7 @@
 const fromAgents: readonly Role[] = ["agent"];
 const fromBoth: readonly Role[] = ["entry", "tool", "agent"];
 
-/** Who may send what to an agent. Messages that stand nowhere here are for others than agents. */
+/** The roles that may send each type of message to an agent. Types that are not listed are not meant for agents. */
 const senders: Partial<Record<Message["type"], readonly Role[]>> = {
     open: fromEntries,
     call: fromEntries,
@@ -21,7 +21,7 @@
     stageFailed: fromAgents,
 };
 
-/** Whether an agent takes a message of this type from a peer with this role. @internal */
-export function isTakenFrom(role: Role, type: Message["type"]): boolean {
+/** Returns true if an agent accepts messages of this type from a peer with this role. @internal */
+export function isAcceptedFrom(role: Role, type: Message["type"]): boolean {
     return senders[type]?.includes(role) === true;
 }
