--- a/packages/agent/src/bench/benchAgent.ts
+++ b/packages/agent/src/bench/benchAgent.ts
@@ -5,7 +5,7 @@
 import { assert, SystemClock } from "@waxwingspar/utils";
 import { Agent } from "../lib/Agent.js";
 import { type AgentSettings } from "../lib/AgentSettings.js";
-import { lateMethods } from "../lib/lateMethods.js";
+import { createDeferredMethods } from "../lib/createDeferredMethods.js";
 
 /** Number of layers of the benchmark model. @internal */
 export const benchLayers = 12;
@@ -41,7 +41,7 @@
 export async function startBenchAgent(options: BenchAgentOptions): Promise<BenchAgent> {
     const { name, engine, port = 0, incarnation = 1, settings } = options;
     const hello = benchHello(name, "agent", incarnation);
-    const pool = new TcpLinkPool({ hello, credentials: benchCredentials, methods: lateMethods(() => agent) });
+    const pool = new TcpLinkPool({ hello, credentials: benchCredentials, methods: createDeferredMethods(() => agent) });
     const clock = new SystemClock();
     const agent: Agent = new Agent({
         target: name,
--- a/packages/agent/src/lib/Agent.ts
+++ b/packages/agent/src/lib/Agent.ts
@@ -17,7 +17,7 @@
 import { Result } from "true-myth";
 import { type AgentContext, type AgentMetrics, type ModelVersion } from "./AgentContext.js";
 import { type AgentSettings } from "./AgentSettings.js";
-import { AgentClaims, type WriteLeftClaims } from "./claims/AgentClaims.js";
+import { AgentClaims, type WriteFinalClaims } from "./claims/AgentClaims.js";
 import { OrderGate, orderMethodName } from "./control/OrderGate.js";
 import { createContext } from "./createContext.js";
 import { Drain } from "./Drain.js";
@@ -25,9 +25,9 @@
 import { DuplicateAttempt } from "./head/DuplicateAttempt.js";
 import { HeadAttempt } from "./head/HeadAttempt.js";
 import { HeadRequests } from "./head/HeadRequests.js";
+import { isAcceptedFrom } from "./isAcceptedFrom.js";
 import { createExportMethod, exportMethodName } from "./kv/exportMethod.js";
 import { type CreditMessage } from "./messages.js";
-import { isAcceptedFrom } from "./peerRoles.js";
 import { type ServiceAddress, ServiceProxy } from "./service/ServiceProxy.js";
 import { StageAttempt } from "./stage/StageAttempt.js";
 import { StageRequests } from "./stage/StageRequests.js";
@@ -54,7 +54,7 @@
     /** Reads the highest fence ever issued for this target from the store. By default, no fence has been issued. */
     readonly readFence?: () => Promise<Outcome<number>>;
     /** Stores the final state of the claims, for duplicates that arrive after the agent has left. Lost by default. */
-    readonly writeLeftClaims?: WriteLeftClaims;
+    readonly writeFinalClaims?: WriteFinalClaims;
     readonly record?: HistoryRecorder;
     readonly clock?: Clock;
     readonly log?: Logger;
@@ -99,7 +99,7 @@
     constructor(options: AgentOptions) {
         this.context = createContext(options);
         const { context } = this;
-        this.claims = new AgentClaims(context, options.hello.incarnation, options.writeLeftClaims);
+        this.claims = new AgentClaims(context, options.hello.incarnation, options.writeFinalClaims);
         const { answers, calls } = this.claims;
         this.heads = new HeadRequests(context, answers);
         this.stages = new StageRequests(context);
@@ -340,7 +340,7 @@
             attempt.cancel();
             return;
         }
-        if (table.judge(request, epoch) === "new") {
+        if (table.classify(request, epoch) === "new") {
             // The cancellation arrived before the attempt, which must not start any more.
             table.end(request, epoch);
         }
--- a/packages/agent/src/lib/AttemptTable.test.ts
+++ b/packages/agent/src/lib/AttemptTable.test.ts
@@ -17,9 +17,9 @@
     }
     assert.equal(table.size, 4);
     assert.equal(table.openCount, 1);
-    assert.equal(table.judge("r9", 1), "stale");
-    assert.equal(table.judge("r9", 2), "repeat");
-    assert.equal(table.judge("r0", 1), "new");
+    assert.equal(table.classify("r9", 1), "stale");
+    assert.equal(table.classify("r9", 2), "repeat");
+    assert.equal(table.classify("r0", 1), "new");
     clock.advance(1001);
     table.end("last", 0);
     assert.equal(table.size, 2);
--- a/packages/agent/src/lib/AttemptTable.ts
+++ b/packages/agent/src/lib/AttemptTable.ts
@@ -59,7 +59,7 @@
     }
 
     /** Classifies an attempt by the highest epoch seen: `new` above it, `repeat` at it, `stale` below it. */
-    judge(request: string, epoch: number): "new" | "repeat" | "stale" {
+    classify(request: string, epoch: number): "new" | "repeat" | "stale" {
         const highest = this.entries.get(request)?.epoch ?? -1;
         if (epoch > highest) {
             return "new";
--- a/packages/agent/src/lib/HeldModels.ts
+++ b/packages/agent/src/lib/HeldModels.ts
@@ -1,6 +1,6 @@
 import { type Engine, type EngineInfo } from "@waxwingspar/engine";
 import { type Failure, failure, type Outcome, requestCodes } from "@waxwingspar/utils";
-import { guarded } from "./guarded.js";
+import { callEngine } from "./callEngine.js";
 
 /** The layers of a model version that a request needs. @internal */
 export interface NeededLayers {
@@ -58,7 +58,7 @@
     }
 
     private async queryEngine(): Promise<Outcome<EngineInfo>> {
-        const outcome = await guarded(() => this.engine.info());
+        const outcome = await callEngine(() => this.engine.info());
         this.pending = undefined;
         if (outcome.isOk) {
             this.info = outcome.value;
--- a/packages/agent/src/lib/guarded.ts
+++ b/packages/agent/src/lib/callEngine.ts
@@ -7,7 +7,7 @@
  *
  * @internal
  */
-export async function guarded<T>(call: () => Promise<Outcome<T>>): Promise<Outcome<T>> {
+export async function callEngine<T>(call: () => Promise<Outcome<T>>): Promise<Outcome<T>> {
     try {
         return await call();
     }
--- a/packages/agent/src/lib/claims/AgentClaims.ts
+++ b/packages/agent/src/lib/claims/AgentClaims.ts
@@ -4,10 +4,10 @@
 import { type CallClaims } from "../service/CallSink.js";
 import { type AnswerClaims } from "./AnswerRecord.js";
 import { ClaimTable, type ClaimTableOptions } from "./ClaimTable.js";
-import { collectFinalClaims } from "./collectLeftClaims.js";
+import { collectFinalClaims } from "./collectFinalClaims.js";
 
 /** Stores the final state of the claims of an agent that has left. @public */
-export type WriteLeftClaims = (finalClaims: FinalClaims) => Promise<Outcome<void>>;
+export type WriteFinalClaims = (finalClaims: FinalClaims) => Promise<Outcome<void>>;
 
 /**
  * All claims of one agent: those of model requests and those of plain calls.
@@ -21,7 +21,7 @@
     constructor(
         private readonly context: AgentContext,
         private readonly incarnation: string,
-        private readonly write: WriteLeftClaims | undefined,
+        private readonly write: WriteFinalClaims | undefined,
     ) {
         this.answers = new ClaimTable(this.tableOptions(2 * context.settings.retainCache));
         this.calls = new ClaimTable(this.tableOptions(undefined));
--- a/packages/agent/src/lib/claims/AnswerRecord.ts
+++ b/packages/agent/src/lib/claims/AnswerRecord.ts
@@ -53,7 +53,7 @@
 }
 
 /** Creates a follower that forwards a record to the stream of one entry. @internal */
-export function followWith(stream: EntryStream): ClaimFollower<AnswerToken, AnswerEnd> {
+export function toFollower(stream: EntryStream): ClaimFollower<AnswerToken, AnswerEnd> {
     return {
         item: token => stream.token(token),
         end: end => stream.done(end),
--- a/packages/agent/src/lib/control/OrderGate.ts
+++ b/packages/agent/src/lib/control/OrderGate.ts
@@ -13,7 +13,7 @@
 import { type Logger } from "pino";
 import { Result } from "true-myth";
 import { type ModelVersion } from "../AgentContext.js";
-import { guarded } from "../guarded.js";
+import { callEngine } from "../callEngine.js";
 
 /** The name of the JSON-RPC method that applies an order. @internal */
 export const orderMethodName = "order.apply";
@@ -133,7 +133,7 @@
             this.addRecorded(order.id);
             record({ event: "order.applied", order: order.id, fence: order.fence, target });
         }
-        const outcome = await guarded(() => engine.order(order));
+        const outcome = await callEngine(() => engine.order(order));
         const code = outcome.isErr ? outcome.error.code.number : undefined;
         log.info({ order: order.id, kind: order.action.kind, fence: order.fence, code }, "orders: executed");
         await applied();
--- a/packages/agent/src/lib/lateMethods.ts
+++ b/packages/agent/src/lib/createDeferredMethods.ts
@@ -16,7 +16,7 @@
  * @param agent - Returns the agent, or undefined until it is created; calls are then refused as not run.
  * @public
  */
-export function lateMethods(agent: () => Agent | undefined): Readonly<Record<string, RpcMethod>> {
+export function createDeferredMethods(agent: () => Agent | undefined): Readonly<Record<string, RpcMethod>> {
     const createDeferredMethod = (name: string): RpcMethod => async (params, link) => {
         const method = agent()?.methods[name];
         return method === undefined
--- a/packages/agent/src/lib/head/HeadAttempt.ts
+++ b/packages/agent/src/lib/head/HeadAttempt.ts
@@ -3,9 +3,9 @@
 import { type OpenMessage } from "@waxwingspar/transport";
 import { type Failure, failure, requestCodes, type Timer } from "@waxwingspar/utils";
 import { type AgentContext, type Attempt, type ModelVersion } from "../AgentContext.js";
+import { callEngine } from "../callEngine.js";
 import { type AttemptEvent, type AttemptState, createAttemptChart } from "../charts/attemptChart.js";
 import { asNotRun, asStarted, type ChainFault, fromWire } from "../faults.js";
-import { guarded } from "../guarded.js";
 import { type JoinedMessage, type StageFailedMessage } from "../messages.js";
 import { contextTokensOf, type Timeouts, timeoutsOf } from "../modelLimits.js";
 import { type SampledToken } from "../stage/StageRunner.js";
@@ -194,7 +194,7 @@
     private async prepare(): Promise<void> {
         const { message, produced } = this.options;
         this.readyTimer = this.context.clock.schedule(() => this.notReady(), 2 * this.joinTimeout());
-        const prompt = await guarded(() => this.context.engine.tokenize(message.model, message.prompt));
+        const prompt = await callEngine(() => this.context.engine.tokenize(message.model, message.prompt));
         if (this.chart.ended) {
             return;
         }
--- a/packages/agent/src/lib/head/HeadRequests.ts
+++ b/packages/agent/src/lib/head/HeadRequests.ts
@@ -1,7 +1,7 @@
 import { type Link, type OpenMessage, type Stage } from "@waxwingspar/transport";
 import { type Failure, failure, requestCodes } from "@waxwingspar/utils";
 import { type AgentContext } from "../AgentContext.js";
-import { type AnswerClaims, type AnswerRecord, followWith, RecordSink } from "../claims/AnswerRecord.js";
+import { type AnswerClaims, type AnswerRecord, RecordSink, toFollower } from "../claims/AnswerRecord.js";
 import { type ClaimUse } from "../claims/ClaimTable.js";
 import { closedFailure, toWire } from "../faults.js";
 import { DuplicateAttempt } from "./DuplicateAttempt.js";
@@ -26,7 +26,7 @@
 
     async open(message: OpenMessage, link: Link): Promise<void> {
         const { request, epoch, claim } = message;
-        const verdict = this.context.table.judge(request, epoch);
+        const verdict = this.context.table.classify(request, epoch);
         if (verdict === "repeat") {
             this.context.metrics.dropped?.("open");
             return;
@@ -37,7 +37,7 @@
         }
         const refusal = this.check(message) ?? await this.checkHeld(message);
         // A newer attempt or a cancellation may have arrived while the engine was queried.
-        if (this.context.table.judge(request, epoch) !== "new" || !link.open) {
+        if (this.context.table.classify(request, epoch) !== "new" || !link.open) {
             return;
         }
         if (refusal !== undefined) {
@@ -147,7 +147,7 @@
             },
         });
         this.context.table.begin(message.request, attempt);
-        following.stop = record.follow(followWith(stream), message.produced.length);
+        following.stop = record.follow(toFollower(stream), message.produced.length);
         attempt.offer();
     }
 
@@ -169,7 +169,7 @@
             },
         });
         this.context.table.begin(message.request, new DuplicateAttempt(message.epoch, stream));
-        following.stop = record.follow(followWith(stream), message.produced.length);
+        following.stop = record.follow(toFollower(stream), message.produced.length);
     }
 
     private createStream(
--- a/packages/agent/src/lib/kv/SessionTable.ts
+++ b/packages/agent/src/lib/kv/SessionTable.ts
@@ -1,7 +1,7 @@
 import { type Engine } from "@waxwingspar/engine";
 import { type Clock, failure, type Outcome, requestCodes, type Timer } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { guarded } from "../guarded.js";
+import { callEngine } from "../callEngine.js";
 
 /**
  * The agent's record of a session of the engine.
@@ -110,7 +110,7 @@
 
     private async exportEntry(entry: Entry): Promise<Outcome<CacheExport>> {
         const { session, known } = entry.record;
-        const outcome = await guarded(() => this.engine.exportCache(session));
+        const outcome = await callEngine(() => this.engine.exportCache(session));
         return outcome.map(({ positions, data }) => ({ positions, data, known }));
     }
 
--- a/packages/agent/src/lib/kv/importCache.ts
+++ b/packages/agent/src/lib/kv/importCache.ts
@@ -2,7 +2,7 @@
 import { type Clock, failure, type Outcome, transportCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type AgentContext } from "../AgentContext.js";
-import { guarded } from "../guarded.js";
+import { callEngine } from "../callEngine.js";
 import { exportMethodName, exportPieceSchema } from "./exportMethod.js";
 import { type CacheExport, type SessionRecord } from "./SessionTable.js";
 
@@ -56,7 +56,7 @@
     if (usable - cached < minimumGain) {
         return 0;
     }
-    const imported = await guarded(() => context.engine.importCache(record.session, found.cache.data));
+    const imported = await callEngine(() => context.engine.importCache(record.session, found.cache.data));
     return imported.isOk ? Math.min(usable, imported.value.positions) : 0;
 }
 
--- a/packages/agent/src/lib/load/CacheWatch.ts
+++ b/packages/agent/src/lib/load/CacheWatch.ts
@@ -1,6 +1,6 @@
 import { type CacheEvent, type Engine } from "@waxwingspar/engine";
 import { type Clock, type Failure, type Outcome, type Timer, transportCodes } from "@waxwingspar/utils";
-import { guarded } from "../guarded.js";
+import { callEngine } from "../callEngine.js";
 
 /** Minimum number of lost events at which the state of the cache can count as unknown. */
 const fewLostEvents = 16;
@@ -91,7 +91,7 @@
     }
 
     private async poll(): Promise<void> {
-        const events = await guarded(() => this.options.engine.cacheEvents((this.last?.sequence ?? 1) - 1));
+        const events = await callEngine(() => this.options.engine.cacheEvents((this.last?.sequence ?? 1) - 1));
         this.timer = undefined;
         if (this.stopped) {
             return;
--- a/packages/agent/src/lib/stage/EngineActivity.ts
+++ b/packages/agent/src/lib/stage/EngineActivity.ts
@@ -1,6 +1,6 @@
 import { type Engine } from "@waxwingspar/engine";
 import { type Clock } from "@waxwingspar/utils";
-import { guarded } from "../guarded.js";
+import { callEngine } from "../callEngine.js";
 
 /** Milliseconds to read data that has already arrived at the socket. */
 const socketReadTime = 1;
@@ -43,7 +43,7 @@
 
     private async ask(): Promise<boolean> {
         const { engine, clock, answerTime } = this.options;
-        const answer = guarded(() => engine.info()).then(outcome => outcome.isOk);
+        const answer = callEngine(() => engine.info()).then(outcome => outcome.isOk);
         const silence = new Promise<boolean>(resolve => {
             // After a pause of this process, timers run before sockets are read; a second timer lets the answer win.
             const expire = (): void => void clock.schedule(() => resolve(false), socketReadTime);
--- a/packages/agent/src/lib/stage/StageRequests.ts
+++ b/packages/agent/src/lib/stage/StageRequests.ts
@@ -15,7 +15,7 @@
     async join(message: JoinMessage, link: Link): Promise<void> {
         const { request, epoch } = message;
         const { table, metrics } = this.context;
-        const verdict = table.judge(request, epoch);
+        const verdict = table.classify(request, epoch);
         if (verdict === "repeat") {
             metrics.dropped?.("join");
             return;
@@ -26,7 +26,7 @@
         }
         const refusal = this.checkState(message) ?? await this.checkHeld(message);
         // A newer attempt or a cancellation may have arrived while the engine was queried.
-        if (table.judge(request, epoch) !== "new" || !link.open) {
+        if (table.classify(request, epoch) !== "new" || !link.open) {
             return;
         }
         if (refusal !== undefined) {
--- a/packages/agent/src/lib/stage/StageSession.ts
+++ b/packages/agent/src/lib/stage/StageSession.ts
@@ -2,8 +2,8 @@
 import { type Failure, failure, requestCodes, transportCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { type AgentContext } from "../AgentContext.js";
+import { callEngine } from "../callEngine.js";
 import { type ChainFault } from "../faults.js";
-import { guarded } from "../guarded.js";
 import { importCache } from "../kv/importCache.js";
 import { type SessionRecord } from "../kv/SessionTable.js";
 import { type Timeouts } from "../modelLimits.js";
@@ -187,7 +187,7 @@
             seed: sampling.seed,
             tokens: tokens === undefined ? undefined : [...tokens],
         };
-        const opened = await guarded(() => context.engine.open(wantedSession));
+        const opened = await callEngine(() => context.engine.open(wantedSession));
         if (opened.isErr) {
             // The engine may have been restarted without these layers.
             void context.held.refresh();
--- a/packages/cli/src/lib/nodes/AgentNode.ts
+++ b/packages/cli/src/lib/nodes/AgentNode.ts
@@ -1,4 +1,4 @@
-import { Agent, type AgentMetrics, type AgentSettings, type WriteLeftClaims } from "@waxwingspar/agent";
+import { Agent, type AgentMetrics, type AgentSettings, type WriteFinalClaims } from "@waxwingspar/agent";
 import { type Configuration } from "@waxwingspar/config";
 import { type Engine } from "@waxwingspar/engine";
 import { createWorkQueue } from "@waxwingspar/policy";
@@ -19,7 +19,7 @@
     /** Reads the highest fence ever issued for this target from the store. */
     readonly readFence?: () => Promise<Outcome<number>>;
     /** Writes down the claims of an agent that has left. */
-    readonly writeLeftClaims?: WriteLeftClaims;
+    readonly writeLeftClaims?: WriteFinalClaims;
     readonly metrics?: AgentMetrics;
     readonly settings?: Partial<AgentSettings>;
 }
@@ -45,7 +45,7 @@
             queue: createWorkQueue({ clock, slots: options.slots }),
             service: options.service,
             readFence: options.readFence,
-            writeLeftClaims: options.writeLeftClaims,
+            writeFinalClaims: options.writeLeftClaims,
             record: options.record,
             clock,
             log: logger,
--- a/packages/entry/src/bench/replyBench.ts
+++ b/packages/entry/src/bench/replyBench.ts
@@ -5,7 +5,7 @@
  *
  * Run with `node packages/entry/dist/bench/replyBench.js`.
  */
-import { Agent, lateMethods, type ServiceAddress } from "@waxwingspar/agent";
+import { Agent, createDeferredMethods, type ServiceAddress } from "@waxwingspar/agent";
 import { resource, specSchemas, StaticConfiguration } from "@waxwingspar/config";
 import { FakeEngine } from "@waxwingspar/engine";
 import { createWorkQueue } from "@waxwingspar/policy";
@@ -102,7 +102,7 @@
     const agent: Agent = new Agent({
         target: "a",
         hello: own,
-        pool: new TcpLinkPool({ hello: own, credentials, methods: lateMethods(() => agent) }),
+        pool: new TcpLinkPool({ hello: own, credentials, methods: createDeferredMethods(() => agent) }),
         engine: new FakeEngine({ clock, held: [] }),
         configuration: new StaticConfiguration(),
         queue: createWorkQueue({ clock, slots: 8 }),
