--- a/packages/agent/src/lib/AttemptTable.test.ts
+++ b/packages/agent/src/lib/AttemptTable.test.ts
@@ -7,7 +7,7 @@
     return { epoch, supersede: () => superseded.push(epoch) };
 }
 
-test("finished requests are remembered up to a number and an age, open ones always", () => {
+test("finished requests are remembered up to a number and an age, open ones without limit", () => {
     const clock = new ManualClock();
     const table = new AttemptTable({ clock, limit: 3, retention: 1000 });
     table.begin("open", attempt(0));
@@ -17,16 +17,16 @@
     }
     assert.equal(table.size, 4);
     assert.equal(table.openCount, 1);
-    assert.equal(table.judge("r9", 1), "stale");
-    assert.equal(table.judge("r9", 2), "repeat");
-    assert.equal(table.judge("r0", 1), "new");
+    assert.equal(table.classify("r9", 1), "stale");
+    assert.equal(table.classify("r9", 2), "repeat");
+    assert.equal(table.classify("r0", 1), "new");
     clock.advance(1001);
     table.end("last", 0);
     assert.equal(table.size, 2);
     assert.ok(table.find("open", 0) !== undefined);
 });
 
-test("a newer epoch supersedes, and the end of the older one changes nothing", () => {
+test("a newer epoch supersedes an older one, whose end changes nothing", () => {
     const superseded: number[] = [];
     const table = new AttemptTable({ clock: new ManualClock(), limit: 10, retention: 1000 });
     table.begin("r", attempt(0, superseded));
--- a/packages/agent/src/lib/guarded.ts
+++ b/packages/agent/src/lib/callEngine.ts
@@ -2,11 +2,12 @@
 import { Result } from "true-myth";
 
 /**
- * Calls the engine. An adapter ought to return its failures; one that throws must not take the agent down with it.
+ * Calls the engine and converts errors to failures. Engine adapters should return failures; one that throws must not
+ * crash the agent.
  *
  * @internal
  */
-export async function guarded<T>(call: () => Promise<Outcome<T>>): Promise<Outcome<T>> {
+export async function callEngine<T>(call: () => Promise<Outcome<T>>): Promise<Outcome<T>> {
     try {
         return await call();
     }
