--- a/packages/entry/src/lib/versions/ModelVersions.ts
+++ b/packages/entry/src/lib/versions/ModelVersions.ts
@@ -4,7 +4,7 @@
 import { rankVersions } from "./rankVersions.js";
 
 /**
- * Which versions of a model serve requests now.
+ * Ranks the versions of a model that currently serve requests.
  *
  * @internal
  */
@@ -15,12 +15,12 @@
         this.refresh();
     }
 
-    /** Counts pipelines anew. To be called after each change of the configuration. */
+    /** Recounts the pipelines. Must be called after each change of the configuration. */
     refresh(): void {
         this.counts = pipelineCounts(this.configuration);
     }
 
-    /** The versions that may serve a request, in the order in which they are to be tried. None for an unknown model. */
+    /** The versions that may serve a request, in the order to try them; empty for an unknown model. */
     rank(model: string, adapter: string | undefined): readonly string[] {
         const spec = this.configuration.get("model", model)?.spec;
         if (spec === undefined) {
--- a/packages/entry/src/lib/versions/chooseChain.ts
+++ b/packages/entry/src/lib/versions/chooseChain.ts
@@ -9,22 +9,23 @@
     readonly versions: Pick<ModelVersions, "rank">;
     readonly request: ModelRequest;
     readonly exclude: ReadonlySet<string>;
+    /** The only target allowed as the head, if a claim has bound the request to it. */
     readonly head: string | undefined;
-    /** False once another version could mix with what has been computed. */
+    /** False once results of another version could be mixed with what has already been computed. */
     readonly mayChangeVersion: boolean;
 }
 
 /** @internal */
 export interface ChosenChain {
     readonly routed: RoutedAttempt;
-    /** The request, for the version whose targets were chosen. */
+    /** The request, adapted to the version whose targets were chosen. */
     readonly request: ModelRequest;
 }
 
 /**
- * Chooses a chain of the request's version; where that has none left, of another one that serves.
+ * Chooses a chain of the request's version or, if none is available, of another version that serves requests.
  *
- * @returns The failure of the request's own version when no version has a chain.
+ * @returns The chain, or the failure for the request's own version if no version has a chain.
  * @internal
  */
 export function chooseChain(choice: ChainChoice): Outcome<ChosenChain> {
--- a/packages/entry/src/lib/versions/pipelineCounts.ts
+++ b/packages/entry/src/lib/versions/pipelineCounts.ts
@@ -1,17 +1,17 @@
 import { type Configuration } from "@waxwingspar/config";
 
 /**
- * How many whole pipelines serve each version, by model.
+ * The number of complete pipelines that serve each version, by model.
  *
  * @internal
  */
 export type PipelineCounts = ReadonlyMap<string, ReadonlyMap<string, number>>;
 
-/** The ends of the layer ranges that begin at a layer, by that layer. */
+/** The last layers of layer ranges, by the first layer of the range. */
 type RangeEnds = Map<number, number[]>;
 
 /**
- * Counts the pipelines that may take requests: placements that are ready, and whole chains of layers that operators
+ * Counts the pipelines that may serve requests: placements that are ready, and complete chains of layers that operators
  * have pinned.
  *
  * @internal
@@ -57,7 +57,7 @@
     return pinned.values();
 }
 
-/** Takes chains of ranges that follow one another from the first layer to the last, until there is none. */
+/** Counts disjoint chains of consecutive ranges from the first layer to the last. Removes the ranges that it uses. */
 function countChains(ranges: RangeEnds, layers: number): number {
     let count = 0;
     while (layers > 0 && takeChain(ranges, 0, layers)) {
@@ -66,7 +66,9 @@
     return count;
 }
 
-/** Takes ranges that lead from a layer to the end; one that leads nowhere is dropped. */
+/**
+ * Removes a chain of ranges from a layer to the last layer. Ranges that lead to no complete chain are removed as well.
+ */
 function takeChain(ranges: RangeEnds, first: number, layers: number): boolean {
     if (first === layers) {
         return true;
--- a/packages/entry/src/lib/versions/rankVersions.ts
+++ b/packages/entry/src/lib/versions/rankVersions.ts
@@ -2,7 +2,7 @@
 import { type Random } from "@waxwingspar/utils";
 
 /**
- * What decides to which version of a model a request goes.
+ * What the ranking of a model's versions depends on.
  *
  * @internal
  */
@@ -10,17 +10,18 @@
     readonly model: Pick<ModelSpec, "current" | "versions" | "replicas">;
     /** The number of pipelines that serve each version. */
     readonly counts: ReadonlyMap<string, number> | undefined;
-    /** The versions that an adapter fits, when the request names one. */
+    /** The versions that the request's adapter fits; undefined without an adapter. */
     readonly adapterVersions: readonly string[] | undefined;
     readonly random: Random;
 }
 
 /**
- * The versions that may serve a request, in the order in which they are to be tried.
+ * The versions that may serve a request, in the order to try them.
  *
- * While a new version replaces an old one, each request goes to one of the versions with pipelines, in proportion to
- * their number, so that no pipeline gets more than its part. Once the current version has as many as it is to have, it
- * comes first. The others follow for a request that finds no chain; the current version is always among those tried.
+ * During a rollout, the first version is drawn at random from the versions with pipelines, weighted by their number of
+ * pipelines, so that the load is even across pipelines. Once the current version has all its replicas, and no other
+ * version has more pipelines, it comes first. The other versions follow as a fallback if no chain is available. The
+ * current version is always included if the adapter fits it.
  *
  * @internal
  */
@@ -33,11 +34,11 @@
     }
     const others = serving.filter(version => version !== current).map(version => countOf(counts, version));
     const isComplete = serving.includes(current) && countOf(counts, current) >= Math.max(replicas, ...others);
-    const ranked = [isComplete ? current : draw(serving, counts, random), ...serving];
+    const ranked = [isComplete ? current : pickWeighted(serving, counts, random), ...serving];
     return [...new Set(fitting.includes(current) ? [...ranked, current] : ranked)];
 }
 
-function draw(versions: readonly string[], counts: VersionOptions["counts"], random: Random): string {
+function pickWeighted(versions: readonly string[], counts: VersionOptions["counts"], random: Random): string {
     const total = versions.reduce((sum, version) => sum + countOf(counts, version), 0);
     let left = random.next() * total;
     for (const version of versions) {
--- a/packages/entry/src/lib/versions/rollout.test.ts
+++ b/packages/entry/src/lib/versions/rollout.test.ts
@@ -5,7 +5,7 @@
 import { type FakeAgent } from "../testing/FakeAgents.js";
 import { chatBody, modelResource, pinnedTarget, readStream, TestSite } from "../testing/TestSite.js";
 
-/** A site whose model turns from version 1 to 2: both versions are in place on every target. */
+/** Starts a site whose model is rolled out from version 1 to 2, with the given versions pinned on every target. */
 async function startSite(context: TestContext, served: readonly string[]): Promise<TestSite> {
     const resources = (agents: readonly FakeAgent[]): Resource[] => [
         modelResource({ versions: ["1", "2"], current: "2", replicas: 9 }),
@@ -31,7 +31,7 @@
     assert.equal((await responding).status, 200);
 });
 
-test("a request that has delivered tokens keeps its version when that loses its last chain", async context => {
+test("a request that has delivered tokens keeps its version when the last chain of that version is lost", async context => {
     const site = await startSite(context, ["1"]);
     const responding = site.post("/v1/chat/completions", chatBody(4, true));
     const open = await site.agent(0).wait("open");
@@ -52,7 +52,7 @@
     assert.deepEqual(await readStream(response), { text: " 0 1 2 3", whole: true, error: undefined });
 });
 
-test("a request that has delivered nothing takes another version, without the old KV caches", async context => {
+test("a request that has delivered nothing may change its version, without the old KV caches", async context => {
     const site = await startSite(context, ["1"]);
     const responding = site.post("/v1/chat/completions", chatBody(1));
     const open = await site.agent(0).wait("open");
@@ -66,7 +66,7 @@
     assert.equal((await responding).status, 200);
 });
 
-test("a claim that may have run is not tried with another version", async context => {
+test("a claimed request that may have run is not retried with another version", async context => {
     const site = await startSite(context, ["1"]);
     const headers = { "Idempotency-Key": "order-1", "X-Non-Idempotent": "true" };
     const responding = site.post("/v1/chat/completions", chatBody(1), headers);
--- a/packages/entry/src/lib/versions/versions.test.ts
+++ b/packages/entry/src/lib/versions/versions.test.ts
@@ -18,7 +18,7 @@
     return make("target", name, { host: "127.0.0.1", port: 1000, dataCentre: "dc1", holds });
 }
 
-/** Placements of two stages, all on the same two targets. */
+/** Placements with two stages each, all on the same two targets. */
 function placements(version: string, count: number, ready = true): Resource[] {
     const stages = [{ target: "a", first: 0, last: 1 }, { target: "b", first: 2, last: 3 }];
     return Array.from(
@@ -47,13 +47,13 @@
     return new ModelVersions(configurationOf(...resources), random);
 }
 
-/** How many of 1,000 requests go to the current version v2 at first. */
+/** Of 1,000 requests, the number for which the current version v2 is ranked first. */
 function shareOfCurrent(...resources: Resource[]): number {
     const versions = versionsOf(seededRandom(7), ...resources);
     return Array.from({ length: 1000 }, () => versions.rank("demo", undefined)[0]).filter(one => one === "v2").length;
 }
 
-test("the old version serves alone until a pipeline of the new one is ready", () => {
+test("only the old version serves until a pipeline of the new one is ready", () => {
     assert.equal(shareOfCurrent(model("v2"), ...placements("v1", 4), ...placements("v2", 4, false)), 0);
 });
 
@@ -62,13 +62,13 @@
     assert.ok(share > 200 && share < 300, `${share} of 1000, seed 7`);
 });
 
-test("the current version comes first once it has all its pipelines, the old one after it", () => {
+test("the current version comes before the old one once it has all its pipelines", () => {
     const resources = [model("v2"), ...placements("v1", 4), ...placements("v2", 4)];
     assert.equal(shareOfCurrent(...resources), 1000);
     assert.deepEqual(versionsOf(seededRandom(1), ...resources).rank("demo", undefined), ["v2", "v1"]);
 });
 
-test("a version out of the model's list gets nothing, and one without pipelines only when there is no other", () => {
+test("a version that is not listed gets no requests, and one without pipelines only if there is no other", () => {
     const only = make("model", "demo", { layers: 4, versions: ["v2"], current: "v2" });
     assert.equal(shareOfCurrent(only, ...placements("v1", 4)), 1000);
     assert.deepEqual(versionsOf(seededRandom(1), model("v2")).rank("demo", undefined), ["v2"]);
@@ -78,13 +78,13 @@
     ]);
 });
 
-test("an adapter goes only to versions that it fits", () => {
+test("a request with an adapter uses only versions that the adapter fits", () => {
     const adapter = make("adapter", "polite", { model: "demo", versions: ["v1"], bytes: 1 });
     const versions = versionsOf(seededRandom(1), model("v2"), adapter, ...placements("v1", 1), ...placements("v2", 4));
     assert.deepEqual(versions.rank("demo", "polite"), ["v1"]);
 });
 
-test("pinned layers count by whole chains only", () => {
+test("pinned layers count only as complete chains", () => {
     const configuration = configurationOf(
         model("v1"),
         target("c", [pin("v1", 0, 1), pin("v2", 0, 1)]),
@@ -96,7 +96,7 @@
     assert.deepEqual([counts?.get("v1"), counts?.get("v2")], [1, 0]);
 });
 
-test("a target gets work of a placement only while that is ready", () => {
+test("a target gets work for a placement only while the placement is ready", () => {
     const configuration = configurationOf(model("v1"), ...placements("v1", 1, false));
     const heldBy = () => routingTargets(configuration).map(({ holds }) => holds.length);
     assert.deepEqual(heldBy(), [0, 0]);
