--- a/packages/entry/src/lib/testing/FakeAgents.ts
+++ b/packages/entry/src/lib/testing/FakeAgents.ts
@@ -15,19 +15,19 @@
 export type MessageOf<T extends Message["type"]> = Extract<Message, { readonly type: T; }>;
 
 /**
- * The far end of an entry's link: notes what arrives, and sends what a test tells it to.
+ * The remote end of an entry's link: records the messages that arrive, and sends messages on behalf of a test.
  *
  * @internal
  */
 export class FakeAgent {
     readonly address: Address;
     readonly received: Message[] = [];
-    /** Runs for each message that arrives. */
+    /** Called for each message that arrives. */
     react: (message: Message, agent: FakeAgent) => void = () => undefined;
     incarnation: string;
     reachable = true;
     private readonly pairs: LinkPair[] = [];
-    /** The link on which each request came. */
+    /** The link on which each request arrived. */
     private readonly links = new Map<string, Link>();
     private readonly waiters: (() => void)[] = [];
 
@@ -41,7 +41,7 @@
         return this.received.filter((message): message is MessageOf<T> => message.type === type);
     }
 
-    /** Waits until `count` messages of a type have arrived, and returns the last of these. */
+    /** Waits until `count` messages of a type have arrived, and returns the last of them. */
     async wait<T extends Message["type"]>(type: T, count = 1): Promise<MessageOf<T>> {
         for (;;) {
             const message = this.all(type)[count - 1];
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Sends a message on the link on which its request came. */
+    /** Sends a message on the link on which its request arrived. */
     send(message: Extract<Message, { readonly request: string; }>): void {
         this.links.get(message.request)?.send(message);
     }
 
-    /** Tells every entry about load. */
+    /** Sends a load report to every entry. */
     sendLoad(leaving: boolean): void {
         this.pairs.forEach(pair => pair.right.send({ type: "load", load: this.load(leaving) }));
     }
@@ -93,12 +93,12 @@
         };
     }
 
-    /** Cuts every link, as when the process dies. */
+    /** Cuts every link, as if the process had crashed. */
     cut(): void {
         this.pairs.splice(0).forEach(pair => pair.cut());
     }
 
-    /** Comes back as another process. */
+    /** Restarts as another incarnation of the process. */
     restart(incarnation: string): void {
         this.cut();
         this.incarnation = incarnation;
@@ -112,12 +112,12 @@
             left: { hello: hello("entry", "entry", "entry-1") },
             right: { hello: hello(this.target, "agent", this.incarnation) },
         });
-        pair.right.onMessage(message => this.take(message, pair.right));
+        pair.right.onMessage(message => this.receive(message, pair.right));
         this.pairs.push(pair);
         return pair;
     }
 
-    private take(message: Message, link: Link): void {
+    private receive(message: Message, link: Link): void {
         if ("request" in message) {
             this.links.set(message.request, link);
         }
--- a/packages/entry/src/lib/testing/FakeClaims.ts
+++ b/packages/entry/src/lib/testing/FakeClaims.ts
@@ -3,7 +3,7 @@
 import { Result } from "true-myth";
 
 /**
- * Claims in memory, which two entries of a test may share.
+ * In-memory claims that two entries of a test may share.
  *
  * @internal
  */
--- a/packages/entry/src/lib/testing/FakeRouter.ts
+++ b/packages/entry/src/lib/testing/FakeRouter.ts
@@ -9,7 +9,7 @@
 import { type Failure, failure, type Outcome, requestCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 
-/** How an attempt that the router had handed out ended. @internal */
+/** The end of an attempt that the router had returned. @internal */
 export interface RecordedEnd {
     readonly head: string;
     readonly result: AttemptEnd;
@@ -17,7 +17,7 @@
 }
 
 /**
- * A router that hands out chains in a fixed order and notes what it is told.
+ * A router that returns chains in a fixed order and records what is reported to it.
  *
  * @internal
  */
@@ -25,11 +25,11 @@
     readonly ends: RecordedEnd[] = [];
     readonly reports: LoadReport[] = [];
     readonly lost: string[] = [];
-    /** What attempts said of their prompts' cached blocks, by their heads. */
+    /** The cached prompt blocks that attempts reported, with the attempts' heads. */
     readonly cached: { readonly head: string; readonly blocks: number; }[] = [];
     readonly asked: RouteRequest[] = [];
     targets: readonly RoutingTarget[] = [];
-    /** Targets that get no new work. */
+    /** Targets that are given no new work. */
     readonly withdrawn = new Set<string>();
     /** Set to refuse every choice. */
     refusal: Failure | undefined;
--- a/packages/entry/src/lib/testing/HonestHead.ts
+++ b/packages/entry/src/lib/testing/HonestHead.ts
@@ -4,20 +4,20 @@
 import { type Clock, requestCodes, type ResultCode } from "@waxwingspar/utils";
 import { FakeAgent } from "./FakeAgents.js";
 
-/** Layers of the model, all of them run by one head. */
+/** The model's last layer. A single head runs all layers. */
 const lastLayer = 1;
 const promptTokens = 2;
 
 interface Attempt {
     readonly open: OpenMessage;
     state: "waiting" | "running" | "ended";
-    /** Tokens that were drawn, with those of earlier attempts. */
-    drawn: number;
+    /** Number of tokens generated, including those of earlier attempts. */
+    generated: number;
 }
 
 /**
- * A head that records what it runs, as a real agent does, keeps the promises of claims, and misbehaves on the wire only:
- * it repeats, skips and delays messages when a test says so.
+ * A head that records its work and honours claims like a real agent. Its faults are limited to messages: it repeats,
+ * skips and delays them when the test requests it.
  *
  * @internal
  */
@@ -29,22 +29,22 @@
 
     constructor(target: string, clock: Clock, port: number, private readonly record: (event: HistoryEvent) => void) {
         this.agent = new FakeAgent(target, clock, port);
-        this.agent.react = message => this.take(message);
+        this.agent.react = message => this.receive(message);
     }
 
-    /** Starts what waits, and draws one more token of everything that runs. */
+    /** Starts the waiting attempts, and generates one more token for each running attempt. */
     step(): void {
         for (const attempt of this.attempts) {
             if (attempt.state === "waiting") {
                 this.begin(attempt);
             }
             else if (attempt.state === "running") {
-                this.draw(attempt);
+                this.generate(attempt);
             }
         }
     }
 
-    /** Refuses what waits, but for claims that may have run: of these it never says that they did not. */
+    /** Refuses the waiting attempts, except those whose claim may have run, which it never reports as not run. */
     refuse(code: ResultCode): void {
         for (const attempt of this.attempts.filter(({ state }) => state === "waiting")) {
             if (this.owner(attempt) === undefined) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Fails what runs. */
+    /** Fails the running attempts. */
     fail(): void {
         for (const attempt of this.attempts.filter(({ state }) => state === "running")) {
             attempt.state = "ended";
@@ -61,40 +61,40 @@
         }
     }
 
-    /** Sends tokens again, of everything that ever ran. */
+    /** Repeats the last tokens of every attempt that has run. */
     repeat(): void {
-        for (const { open, drawn, state } of this.attempts) {
-            if (state !== "waiting" && drawn > 0) {
-                this.agent.tokens(open, Math.max(0, drawn - 2), Math.min(2, drawn));
+        for (const { open, generated, state } of this.attempts) {
+            if (state !== "waiting" && generated > 0) {
+                this.agent.tokens(open, Math.max(0, generated - 2), Math.min(2, generated));
             }
         }
     }
 
-    /** Sends a token that was never drawn, behind a gap. */
+    /** Sends a token that was never generated, leaving a gap before it. */
     skip(): void {
-        for (const { open, drawn, state } of this.attempts) {
+        for (const { open, generated, state } of this.attempts) {
             if (state === "running") {
-                this.agent.tokens(open, drawn + 1, 1);
+                this.agent.tokens(open, generated + 1, 1);
             }
         }
     }
 
-    /** What it writes down about its claims if it takes nothing more from now on. What has begun counts as cut off. */
+    /** The final outcomes of its claims if it leaves now. Claims whose request has begun count as interrupted. */
     claimsLeft(): (claim: string) => FinalOutcome {
         const claims = new Map(this.claims);
         return claim => ({ kind: claims.get(claim) === undefined ? "notRun" : "unknown" });
     }
 
-    /** Dies and starts again with an empty memory. */
+    /** Simulates a crash and a restart without any state. */
     restart(incarnation: string): void {
         this.attempts = [];
         this.claims = new Map();
         this.agent.restart(incarnation);
     }
 
-    private take(message: Message): void {
+    private receive(message: Message): void {
         if (message.type === "open") {
-            this.attempts.push({ open: message, state: "waiting", drawn: message.produced.length });
+            this.attempts.push({ open: message, state: "waiting", generated: message.produced.length });
         }
         if (message.type === "cancel") {
             this.attempts.filter(({ open }) => open.request === message.request && open.epoch === message.epoch)
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The request that runs or ran under an attempt's claim. */
+    /** The request that runs or has run under an attempt's claim. */
     private owner({ open: { claim } }: Attempt): string | undefined {
         return claim === undefined ? undefined : this.claims.get(claim);
     }
@@ -127,20 +127,20 @@
         this.emit(attempt);
     }
 
-    private draw(attempt: Attempt): void {
-        this.run(attempt, promptTokens + attempt.drawn - 1, 1);
+    private generate(attempt: Attempt): void {
+        this.run(attempt, promptTokens + attempt.generated - 1, 1);
         this.emit(attempt);
     }
 
     private emit(attempt: Attempt): void {
         const { open } = attempt;
-        if (attempt.drawn < open.sampling.maxTokens) {
-            this.agent.tokens(open, attempt.drawn, 1);
-            attempt.drawn++;
+        if (attempt.generated < open.sampling.maxTokens) {
+            this.agent.tokens(open, attempt.generated, 1);
+            attempt.generated++;
         }
-        if (attempt.drawn >= open.sampling.maxTokens) {
+        if (attempt.generated >= open.sampling.maxTokens) {
             attempt.state = "ended";
-            this.agent.done(open, attempt.drawn);
+            this.agent.done(open, attempt.generated);
         }
     }
 
--- a/packages/entry/src/lib/testing/TestSite.ts
+++ b/packages/entry/src/lib/testing/TestSite.ts
@@ -25,14 +25,14 @@
     readonly anonymousOrganisation?: string;
     /** True for a retry budget that allows no retry. */
     readonly emptyBudget?: boolean;
-    /** Agents that another site of the test also uses. */
+    /** Agents to share with another site of the test. */
     readonly agents?: readonly FakeAgent[];
     /** Resources that replace those of the same kind and name. */
     readonly resources?: (agents: readonly FakeAgent[]) => readonly Resource[];
 }
 
 /**
- * A whole entry on a real socket, with fake agents at the other end of its links.
+ * A complete entry on a real socket, with fake agents at the remote end of its links.
  *
  * @internal
  */
@@ -43,7 +43,7 @@
     readonly claims: FakeClaims;
     readonly history: HistoryEvent[] = [];
     readonly faults: unknown[] = [];
-    /** The result codes of requests that ended, by the entry's metrics. */
+    /** The result codes of ended requests, from the entry's metrics. */
     readonly ended: number[] = [];
     readonly entry: Entry;
     private address: Address = { host: "", port: 0 };
@@ -102,7 +102,7 @@
         return this;
     }
 
-    /** Moves time on. */
+    /** Advances the clock. */
     async advance(duration: number): Promise<void> {
         await this.clock.advanceAsync(duration, 100);
     }
@@ -165,7 +165,7 @@
     return { model: "demo", messages: [{ role: "user", content: "Why does it hum?" }], max_tokens: maxTokens, stream };
 }
 
-/** Reads the text of a stream of chat events, and whether it ended whole. @internal */
+/** Reads the text of a stream of chat events, and whether the stream ended completely. @internal */
 export async function readStream(response: Response): Promise<{ text: string; whole: boolean; error?: ErrorBody; }> {
     const events = (await response.text()).split("\n\n").filter(event => event !== "").map(event => event.slice(6));
     const chunks = events.filter(event => event !== "[DONE]").map(event => JSON.parse(event) as Chunk);
