--- a/packages/entry/src/bench/callers.ts
+++ b/packages/entry/src/bench/callers.ts
@@ -1,11 +1,11 @@
 import { Agent, request } from "node:http";
 import { microseconds } from "./microseconds.js";
 
-/** What callers of one run saw. Times are in microseconds. */
+/** Results of the callers of one run. Times are in microseconds. */
 export interface CallerFigures {
     /** From sending a request to its first token. */
     readonly firstTokens: number[];
-    /** From the sending of a token by the far side to its arrival at the caller. */
+    /** From the sending of a token by the head or the direct server to its arrival at the caller. */
     readonly tokenDelays: number[];
     tokens: number;
     failed: number;
@@ -14,18 +14,18 @@
 /** @internal */
 export interface CallerOptions {
     readonly port: number;
-    /** Requests that are in progress at any time. */
+    /** Number of concurrent callers, each with one request in progress. */
     readonly streams: number;
     readonly tokensEach: number;
     /** Requests that each caller sends, one after the other. */
     readonly rounds: number;
-    /** Milliseconds over which the first requests begin. */
+    /** Milliseconds over which the starts of the callers are spread. */
     readonly ramp: number;
 }
 
 const contentPattern = /"content":" (\d+)"/g;
 
-/** Runs callers against a port until each has had all its answers. */
+/** Runs callers against a port until each has received all its answers. */
 export async function runCallers(options: CallerOptions): Promise<CallerFigures> {
     const figures: CallerFigures = { firstTokens: [], tokenDelays: [], tokens: 0, failed: 0 };
     const agent = new Agent({ keepAlive: true });
--- a/packages/entry/src/bench/entryBench.ts
+++ b/packages/entry/src/bench/entryBench.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the processor time of an entry for each streamed token, and the latency that it adds against calling the
- * far side directly, both in one run. The entry and the far side each have a process of their own.
+ * Measures the CPU time of an entry per streamed token, and the latency that it adds compared with calling a server of
+ * the same tokens directly. The entry and the heads run in separate processes.
  *
  * Run with `node packages/entry/dist/bench/entryBench.js`.
  */
@@ -13,17 +13,17 @@
 
 const heads = 16;
 const interval = 72;
-/** The mean length of an answer at the size of the design. */
+/** Tokens of an answer: the mean length in the design load. */
 const tokensEach = 264;
 const streamCounts = [50, 200, 450, 900];
 const rounds = 1;
-/** Milliseconds over which the requests of a run begin. */
+/** Milliseconds over which the requests of a run are started. */
 const ramp = 4000;
 
 interface Run {
     readonly figures: CallerFigures;
-    /** Microseconds of the entry's processor time for each token. */
-    readonly processor: number;
+    /** Microseconds of the entry's CPU time per token. */
+    readonly cpuPerToken: number;
     readonly systemShare: number;
     readonly tokensPerSecond: number;
     readonly memory: number;
@@ -53,7 +53,7 @@
     const total = after.user - before.user + system;
     return {
         figures,
-        processor: total / figures.tokens,
+        cpuPerToken: total / figures.tokens,
         systemShare: system / total,
         tokensPerSecond: figures.tokens / elapsed * 1000,
         memory: after.memory,
@@ -78,22 +78,22 @@
 }
 
 async function main(): Promise<void> {
-    const far = await startChild<HeadProcessReady>(
+    const headProcess = await startChild<HeadProcessReady>(
         "./headProcess.js",
         { heads, interval } satisfies HeadProcessOptions,
     );
     const near = await startChild<EntryProcessAnswer>(
         "./entryProcess.js",
         {
-            heads: far.answer.heads,
+            heads: headProcess.answer.heads,
         } satisfies EntryProcessOptions,
     );
     const { child, answer: { port } } = near;
     await measure(child, port, 100, 64);
-    await runCallers({ port: far.answer.direct, streams: 100, tokensEach: 64, rounds, ramp });
-    const processor = cpus();
+    await runCallers({ port: headProcess.answer.direct, streams: 100, tokensEach: 64, rounds, ramp });
+    const processors = cpus();
     writeLine(
-        `Node ${process.version}, ${processor.length} x ${processor[0]?.model.trim()}, load ${
+        `Node ${process.version}, ${processors.length} x ${processors[0]?.model.trim()}, load ${
             loadavg()[0]?.toFixed(1)
         }`,
     );
@@ -104,13 +104,13 @@
     );
     writeLine(`|${" --- |".repeat(10)}`);
     for (const streams of streamCounts) {
-        const direct = await runCallers({ port: far.answer.direct, streams, tokensEach, rounds, ramp });
+        const direct = await runCallers({ port: headProcess.answer.direct, streams, tokensEach, rounds, ramp });
         const run = await measure(child, port, streams, tokensEach);
         const { figures } = run;
         const cells = [
             streams,
             run.tokensPerSecond.toFixed(0),
-            run.processor.toFixed(1),
+            run.cpuPerToken.toFixed(1),
             run.systemShare.toFixed(2),
             (run.memory / 1e6).toFixed(0),
             figures.failed + direct.failed,
@@ -120,7 +120,7 @@
         writeLine(`| ${cells.join(" | ")} |`);
     }
     child.send("stop");
-    far.child.kill();
+    headProcess.child.kill();
 }
 
 await main();
--- a/packages/entry/src/bench/entryProcess.ts
+++ b/packages/entry/src/bench/entryProcess.ts
@@ -1,23 +1,23 @@
 /**
- * The entry of the bench, in a process of its own, so that its processor time is the entry's alone. It uses the real
- * router and real links.
+ * The entry of the benchmark, in a separate process so that its CPU time can be measured alone. It uses the real router
+ * and real links.
  */
 import { resource, specSchemas, StaticConfiguration } from "@waxwingspar/config";
 import { TcpLinkPool } from "@waxwingspar/transport";
 import { startBenchEntry } from "./startBenchEntry.js";
 
-/** What the bench tells this process at its start: the ports of the heads. */
+/** The message that starts this process: the ports of the heads. */
 export interface EntryProcessOptions {
     readonly heads: readonly number[];
 }
 
-/** What this process answers: first its port, then its usage each time it is asked. */
+/** The messages of this process: one when it has started, and one for each query of its usage. */
 export interface EntryProcessAnswer {
     readonly port: number;
-    /** Processor time so far, in microseconds. */
+    /** CPU time so far, in microseconds. */
     readonly user: number;
     readonly system: number;
-    /** Bytes of memory. */
+    /** Resident set size in bytes. */
     readonly memory: number;
 }
 
--- a/packages/entry/src/bench/headProcess.ts
+++ b/packages/entry/src/bench/headProcess.ts
@@ -1,23 +1,23 @@
 /**
- * The far side of the entry's bench, in a process of its own: fake heads behind real links, and a stand-in for an
- * engine that callers reach directly over HTTP. Both send the same tokens at the same pace.
+ * The heads of the entry benchmark, in a separate process: fake heads behind real links, and a fake engine that callers
+ * reach directly over HTTP. Both send the same tokens at the same pace.
  *
- * The text of each token is the time at which it was sent, in microseconds of the monotonic clock, which all processes
- * of a machine share.
+ * The text of each token is the time at which it was sent, in microseconds of the monotonic clock that all processes of
+ * a machine share.
  */
 import { type Link, LinkServer, type Message, type OpenMessage } from "@waxwingspar/transport";
 import { createServer, type ServerResponse } from "node:http";
 import { type AddressInfo } from "node:net";
 import { microseconds } from "./microseconds.js";
 
-/** What the bench tells this process at its start. */
+/** The message that starts this process. */
 export interface HeadProcessOptions {
     readonly heads: number;
     /** Milliseconds between two tokens of a stream. */
     readonly interval: number;
 }
 
-/** What this process answers: the ports of the heads and of the direct stand-in. */
+/** The message of this process once it has started: the ports of the heads and of the direct server. */
 export interface HeadProcessReady {
     readonly heads: readonly number[];
     readonly direct: number;
@@ -28,7 +28,7 @@
     step(): boolean;
 }
 
-/** Streams that draw their tokens in the same step, as in one engine's batch. */
+/** Streams that generate their tokens in the same step, like the batch of an engine. */
 class Batch {
     private streams: Stream[] = [];
 
@@ -38,7 +38,7 @@
         }, interval);
     }
 
-    /** The first token comes at once, so that the time to it is the cost of the request alone. */
+    /** Adds a stream and sends its first token immediately, so that the time to it is the cost of the request alone. */
     add(stream: Stream): void {
         if (stream.step()) {
             this.streams.push(stream);
@@ -137,7 +137,7 @@
     }
 }
 
-/** The stand-in spreads its streams over as many batches as there are heads. */
+/** Starts the direct server, which distributes its streams over as many batches as there are heads. */
 async function startDirect({ heads, interval }: HeadProcessOptions): Promise<number> {
     const batches = Array.from({ length: heads }, () => new Batch(interval));
     let requests = 0;
--- a/packages/entry/src/bench/microseconds.ts
+++ b/packages/entry/src/bench/microseconds.ts
@@ -1,6 +1,6 @@
 const nanosecondsPerMicrosecond = 1000n;
 
-/** The monotonic clock of the machine, in microseconds; processes of one machine share it. */
+/** The time of the monotonic clock in microseconds. All processes of a machine share this clock. */
 export function microseconds(): number {
     return Number(process.hrtime.bigint() / nanosecondsPerMicrosecond);
 }
--- a/packages/entry/src/bench/replyBench.ts
+++ b/packages/entry/src/bench/replyBench.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what waits at an entry and at an agent while a plain service's answer of 64 MiB goes to a slow caller, with
- * credit and as towards an agent that knows none, and how fast a caller that reads at once gets such an answer. Entry,
- * agent and caller share this process, with real links and sockets between them.
+ * Measures the bytes buffered at an entry and at an agent while a plain service's answer of 64 MiB is sent to a slow
+ * caller, with and without credit, and the throughput of such an answer to a fast caller. Entry, agent and caller share
+ * this process, with real links and sockets between them.
  *
  * Run with `node packages/entry/dist/bench/replyBench.js`.
  */
@@ -17,16 +17,16 @@
 
 const answerBytes = 64 * 1024 * 1024;
 const pieceBytes = 65_536;
-/** A slow caller takes this much, and then nothing for a few milliseconds. */
+/** Bytes that a slow caller reads before each pause of `slowPause` milliseconds. */
 const slowStep = 262_144;
 const slowPause = 10;
 const rounds = 7;
 
-/** What one answer has held at most, in bytes. */
+/** Maximum bytes buffered for one answer. */
 class Peaks {
     entry = 0;
     agent = 0;
-    /** Bytes that the agent has read from the service, and passed to its link. */
+    /** Bytes that the agent has read from the service and passed to its link. */
     read = 0;
     passed = 0;
     link: Link | undefined;
@@ -38,7 +38,7 @@
         this.passed = 0;
     }
 
-    look(): void {
+    update(): void {
         this.agent = Math.max(this.agent, this.read - this.passed + (this.link?.queuedBytes ?? 0));
     }
 }
@@ -46,7 +46,7 @@
 const peaks = new Peaks();
 let credited = true;
 
-/** Notes what waits in a response after each write. */
+/** Records the bytes pending in a response after each write. */
 function watchResponses(): void {
     const prototype = ServerResponse.prototype;
     const write = Reflect.get(prototype, "write") as (...parts: unknown[]) => boolean;
@@ -57,7 +57,7 @@
     });
 }
 
-/** Notes what the agent passes to its link. */
+/** Records the bytes that the agent passes to its link. */
 function watchAgentLink(link: Link): void {
     const send = link.send.bind(link);
     peaks.link = link;
@@ -65,24 +65,24 @@
         send(message);
         if (message.type === "replyBody") {
             peaks.passed += message.data.length;
-            peaks.look();
+            peaks.update();
         }
     };
 }
 
-/** Leaves the credit out of calls, as an entry did that knew none. */
+/** Removes the credit from calls while `credited` is false, like an entry that does not support credit. */
 function watchEntryLink(link: Link): void {
     const send = link.send.bind(link);
     link.send = message => send(message.type === "call" && !credited ? { ...message, credit: undefined } : message);
 }
 
-/** A service that has its answer at once. */
+/** A service whose complete answer is available immediately. */
 function createDispatcher(): ServiceAddress["dispatcher"] {
     async function* body(): AsyncGenerator<Uint8Array> {
         for (let sent = 0; sent < answerBytes; sent += pieceBytes) {
             await new Promise(resolve => setImmediate(resolve));
             peaks.read += pieceBytes;
-            peaks.look();
+            peaks.update();
             yield new Uint8Array(pieceBytes);
         }
     }
@@ -139,7 +139,7 @@
     return startBenchEntry({ links, configuration, dataCentre: "d1" });
 }
 
-/** Reads an answer, with pauses if the caller is slow. Gives the bytes that came before the end or the cut. */
+/** Reads an answer, with pauses if the caller is slow. Returns the bytes received until the end or a disconnection. */
 async function read(port: number, slow: boolean): Promise<number> {
     const response = await new Promise<IncomingMessage>((resolve, reject) => {
         get({ host: "127.0.0.1", port, path: "/services/records/samples", agent: false }, resolve).on("error", reject);
@@ -157,14 +157,14 @@
         }
     }
     catch {
-        // Cut off: the number of bytes says so.
+        // Disconnected: the number of bytes shows it.
     }
     return bytes;
 }
 
 interface Round {
     readonly bytes: number;
-    /** Mebibytes a second. */
+    /** Throughput in MiB/s. */
     readonly rate: number;
 }
 
--- a/packages/entry/src/bench/startBenchEntry.ts
+++ b/packages/entry/src/bench/startBenchEntry.ts
@@ -14,10 +14,10 @@
 }
 
 /**
- * Starts an entry of a bench with the real router and no logs. Its callers need no credential.
+ * Starts the entry of a benchmark with the real router and no logs. Its callers need no credential.
  *
  * @returns The port that it listens on for callers.
- * @throws Error when it cannot listen.
+ * @throws Error if it cannot listen.
  */
 export async function startBenchEntry({ links, configuration, dataCentre }: BenchEntryOptions): Promise<number> {
     const clock = new SystemClock();
