--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The entry that callers talk to: HTTP interface, routing, resume.
+ * The entry: the HTTP interface for callers, with routing, retries and resumption of streams.
  *
  * @packageDocumentation
  */
--- a/packages/entry/src/lib/Entry.test.ts
+++ b/packages/entry/src/lib/Entry.test.ts
@@ -37,7 +37,7 @@
     assert.match(await response.text(), /"prompt_tokens":7,"completion_tokens":4,"total_tokens":11/);
 });
 
-test("gathers a whole answer", async context => {
+test("returns an answer that is not streamed as one response", async context => {
     const site = await startSite(context);
     const responding = site.post("/v1/completions", { model: "demo:polite", prompt: "Hello", max_tokens: 2 });
     const open = await site.agent(0).wait("open");
@@ -49,7 +49,7 @@
     assert.equal(body.usage.completion_tokens, 2);
 });
 
-test("numbers every refusal", async context => {
+test("gives every refusal its result code", async context => {
     const site = await startSite(context, { limits: { maxBodyBytes: 500 } });
     const noKey = { "X-Non-Idempotent": "true" };
     const cases: readonly [string, Promise<Response>, ResultCode, number, string?][] = [
@@ -85,11 +85,11 @@
         assert.equal(path === undefined || error.param === path, true, name);
     }
     assert.equal(site.agents.every(agent => agent.received.length === 0), true);
-    // The requests run at the same time, so only the order differs.
+    // The requests run concurrently, so their order is not fixed.
     assert.deepEqual(site.ended.toSorted(), cases.map(([, , code]) => code.number).toSorted());
 });
 
-test("says when to come back", async context => {
+test("sends Retry-After when there is no capacity", async context => {
     const site = await startSite(context);
     site.agents.forEach(agent => {
         agent.reachable = false;
@@ -100,7 +100,7 @@
     assert.equal(error.retry_after_ms, 1500);
 });
 
-test("an organisation uses only what it may", async context => {
+test("an organisation cannot use a model that it is not allowed to use", async context => {
     const site = await startSite(context, { anonymousOrganisation: "depots" });
     const response = await fetch(`http://127.0.0.1:${site.port}/v1/completions`, {
         method: "POST",
@@ -235,7 +235,7 @@
     assert.match(old, /\r\n\r\ndata: [^]*漢字 🙂[^]*\[DONE\]\n\n$/);
 });
 
-/** Sends bytes on a connection of their own and returns all that comes back until it closes or falls silent. */
+/** Sends bytes on a new connection and returns everything received until it closes. */
 function raw(port: number, bytes: string): Promise<string> {
     return new Promise((resolve, reject) => {
         let received = "";
--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -26,44 +26,44 @@
 import { ModelVersions } from "./versions/ModelVersions.js";
 
 /**
- * What an entry is made from.
+ * Options of an {@link Entry}.
  *
  * @public
  */
 export interface EntryOptions {
-    /** Where callers connect; port 0 lets the operating system choose. */
+    /** Address to listen on for callers; port 0 lets the operating system choose a port. */
     readonly listen: Address;
     /** Links to agents. The entry sets the message handler of each of its links. */
     readonly links: LinkPool;
     readonly configuration: Configuration;
     readonly router: Router;
     readonly retryBudgets: RetryBudgets;
-    /** Holds this entry's part of the limits of organisations; by default the whole limits. */
+    /** Enforces this entry's share of the organisations' limits; by default the entry enforces the full limits. */
     readonly organisationLimits?: OrganisationLimits;
     readonly claims: Claims;
-    /** Looks up what became of a claim whose runner is gone; by default that is unknown. */
+    /** Looks up the final outcome of a claim whose runner is gone; without it the outcome counts as unknown. */
     readonly findLeft?: FindLeft;
     readonly clock: Clock;
-    /** Divides requests between the versions of a model while one replaces another; by default from a fixed seed. */
+    /** Randomness for dividing requests between versions of a model during a rollout; by default with a fixed seed. */
     readonly random?: Random;
     readonly logger: Logger;
-    /** Takes the events of this process; by default they are dropped. */
+    /** Records the history events of this process; by default they are dropped. */
     readonly history?: HistoryRecorder;
-    /** Makes the spans; by default nothing is traced. */
+    /** Creates spans; by default nothing is traced. */
     readonly tracer?: Tracer;
     readonly metrics?: EntryMetrics;
-    /** The organisation for which callers without a credential act. By default they are refused. */
+    /** The organisation assigned to callers without a credential. By default such callers are refused. */
     readonly anonymousOrganisation?: string;
     /** Limits that differ from the defaults of {@link entryLimitsSchema}. */
     readonly limits?: Partial<EntryLimits>;
 }
 
-/** What stands for the route in figures of requests that were refused before they had one. */
+/** Route label in the metrics of requests that were refused before their route was known. */
 const noRoute = "none";
 
 /**
- * The entry: takes callers' HTTP, has the router choose targets, streams answers back and resumes them after a loss.
- * It keeps nothing beyond its open requests.
+ * The entry: accepts HTTP requests from callers, sends them to targets that the router chooses, streams answers back
+ * and resumes them after a failure. Its only state is that of the requests in progress.
  *
  * @example
  * ```ts
@@ -112,7 +112,7 @@
             clock,
             handle: exchange => this.handle(exchange),
             onRefused: ({ code }, duration) => this.services.metrics.requestEnded(noRoute, code.number, duration, 0),
-            onFault: fault => logger.error({ fault }, "entry: a request met a fault of the program"),
+            onUnexpectedError: fault => logger.error({ fault }, "entry: a request handler threw an unexpected error"),
         });
         router.update(routingTargets(configuration));
         this.removeHandler = configuration.onChange(() => {
@@ -126,11 +126,11 @@
         return this.open.count;
     }
 
-    /** Starts to listen. @returns Where callers connect, or why that failed. */
+    /** Starts listening. @returns The address for callers, or the failure. */
     async start(): Promise<Outcome<Address>> {
         const address = await this.server.listen();
         if (address.isOk) {
-            this.options.logger.info({ address: address.value }, "entry: takes callers");
+            this.options.logger.info({ address: address.value }, "entry: accepting callers");
         }
         return address;
     }
@@ -139,7 +139,7 @@
      * Stops gracefully: answers "not ready", closes the listening socket after the lead time, lets the requests in
      * progress end, and then resolves. Calling it again returns the same promise.
      *
-     * @returns How many requests were cut off; 0 unless they took longer than the limit.
+     * @returns The number of requests that were aborted at `stopLimit`; 0 if all ended in time.
      */
     stop(): Promise<number> {
         this.stopping ??= this.runStop();
@@ -150,7 +150,7 @@
         const { clock, logger } = this.options;
         const { stopLead, stopLimit } = this.limits;
         logger.info({ open: this.open.count }, "entry: stops");
-        this.server.closeConnections();
+        this.server.disableKeepAlive();
         if (stopLead > 0) {
             await sleep(clock, stopLead);
         }
@@ -164,7 +164,7 @@
         return interrupted;
     }
 
-    /** A planned end of a link is no news, but requests that it cut off always are. */
+    /** Logs a closed link as a warning, unless the closing was planned and interrupted no request. */
     private logClosed({ targets, open, announced }: ClosedLink): void {
         const { logger } = this.options;
         if (open === 0 && (announced || this.stopping !== undefined)) {
@@ -195,7 +195,9 @@
             return exchange.refuse(failure(requestCodes.stopping, "this entry is stopping"));
         }
         if (this.options.configuration.revision === 0) {
-            return exchange.refuse(failure(requestCodes.noCapacity, "this entry does not know the configuration yet"));
+            return exchange.refuse(
+                failure(requestCodes.noCapacity, "this entry has not received the configuration yet"),
+            );
         }
         if (this.open.count >= this.limits.maxOpenRequests) {
             return exchange.refuse(failure(requestCodes.overloaded, "this entry has too many requests in progress"));
@@ -228,10 +230,10 @@
         return exchange.refuse(failure(requestCodes.noSuchRoute, "no such path"));
     }
 
-    /** Runs a request that takes part of its organisation's limits, or refuses it before its body is read. */
+    /** Runs a request that counts towards its organisation's limits, or refuses it before its body is read. */
     private run(route: typeof completionsRoute, exchange: Exchange, caller: Caller): Promise<void> | void {
         const { organisation, spec } = caller;
-        const open = this.begin(exchange);
+        const open = this.trackRequest(exchange);
         const admitted = this.organisationLimits.admit(organisation, spec);
         if (admitted.isErr) {
             return exchange.refuse(limitRefusal(exchange, admitted.error));
@@ -245,11 +247,11 @@
         if (exchange.method === method) {
             return true;
         }
-        exchange.refuse(failure(requestCodes.noSuchRoute, `the path takes only ${method}`), 405, { Allow: method });
+        exchange.refuse(failure(requestCodes.noSuchRoute, `the path accepts only ${method}`), 405, { Allow: method });
         return false;
     }
 
-    private begin(exchange: Exchange): OpenRequest {
+    private trackRequest(exchange: Exchange): OpenRequest {
         const parent = parentContext(exchange.header("traceparent"));
         const span = this.services.tracer.startSpan("entry.request", {
             kind: SpanKind.SERVER,
--- a/packages/entry/src/lib/EntryLimits.ts
+++ b/packages/entry/src/lib/EntryLimits.ts
@@ -4,7 +4,7 @@
 const milliseconds = z.number().positive();
 
 /**
- * The limits that an entry holds towards callers and targets. Times are in milliseconds, sizes in bytes.
+ * The limits that an entry enforces on callers and targets. Times are in milliseconds, sizes in bytes.
  *
  * @public
  */
--- a/packages/entry/src/lib/EntryMetrics.ts
+++ b/packages/entry/src/lib/EntryMetrics.ts
@@ -1,31 +1,31 @@
 /**
- * Takes the figures of an entry. Every function is cheap; none is called per token.
+ * Records the metrics of an entry. Each method is cheap, and none is called per token.
  *
  * @public
  */
 export interface EntryMetrics {
     /**
-     * A request ended.
+     * Records the end of a request.
      *
-     * @param route - The model or service; `none` for a request that was refused before it had one.
+     * @param route - The model or service; `none` for a request that was refused before its route was known.
      * @param code - The number of the result code, 0 for a completed request.
      * @param duration - Milliseconds since its arrival.
      * @param tokens - The tokens of the answer, 0 for plain calls.
      */
     requestEnded(route: string, code: number, duration: number, tokens: number): void;
-    /** The first token of an answer was written, so many milliseconds after the request's arrival. */
+    /** Records the milliseconds from a request's arrival until the first token of its answer was written. */
     firstToken(route: string, latency: number): void;
-    /** A further attempt of a request began, because the one before ended with this result code. */
+    /** Records a further attempt of a request, with the result code of the attempt before it. */
     retried(route: string, code: number): void;
     /**
-     * A stream went on after a loss.
+     * Records that a stream continued after its attempt was lost.
      *
-     * @param duration - Milliseconds from noticing the loss to the next token.
+     * @param duration - Milliseconds from the detection of the loss to the next token.
      */
     recovered(route: string, duration: number): void;
 }
 
-/** Metrics that are dropped, for an entry without a collector. @internal */
+/** Drops all metrics, for an entry without a collector. @internal */
 export const noMetrics: EntryMetrics = {
     requestEnded: () => undefined,
     firstToken: () => undefined,
--- a/packages/entry/src/lib/callers/Authenticator.ts
+++ b/packages/entry/src/lib/callers/Authenticator.ts
@@ -4,7 +4,7 @@
 import { Result } from "true-myth";
 
 /**
- * An authenticated caller: the organisation it acts for.
+ * An authenticated caller: the organisation that it acts for, and the spec of that organisation.
  *
  * @internal
  */
@@ -16,7 +16,7 @@
 /** @internal */
 export interface AuthenticatorOptions {
     readonly configuration: Configuration;
-    /** The organisation for which callers without a credential act; absent means that they are refused. */
+    /** The organisation assigned to callers without a credential; if absent, such callers are refused. */
     readonly anonymousOrganisation?: string;
 }
 
@@ -50,7 +50,7 @@
 
     private callerOf(organisation: string | undefined): Outcome<Caller> {
         if (organisation === undefined) {
-            return Result.err(failure(requestCodes.unauthenticated, "a valid bearer token is needed"));
+            return Result.err(failure(requestCodes.unauthenticated, "a valid bearer token is required"));
         }
         const resource = this.configuration.get("organisation", organisation);
         if (resource === undefined) {
--- a/packages/entry/src/lib/callers/limitRefusal.ts
+++ b/packages/entry/src/lib/callers/limitRefusal.ts
@@ -2,8 +2,8 @@
 import { type Exchange } from "../http/Exchange.js";
 
 /**
- * The refusal of a request beyond its organisation's limit. It comes before any claim is looked up, so of a request with
- * a key only this copy is known not to run: an earlier one may be running. That is not reported as not run.
+ * The refusal of a request that exceeds its organisation's limit. The limit is checked before any claim is looked up, so
+ * an earlier request with the same idempotency key may be running: a request with a key is not reported as not run.
  *
  * @internal
  */
--- a/packages/entry/src/lib/callers/requestHeaders.ts
+++ b/packages/entry/src/lib/callers/requestHeaders.ts
@@ -15,14 +15,14 @@
 });
 
 /**
- * What a caller asks for in headers, for model requests and plain calls alike.
+ * The request options that a caller sets in headers, for model requests and plain calls alike.
  *
  * @internal
  */
 export interface RequestHeaders {
-    /** Never above the organisation's own. */
+    /** Priority of the request; at most that of the organisation. */
     readonly priority: number;
-    /** The clock's time by which the caller wants its answer. */
+    /** Deadline for the answer, in the clock's time. */
     readonly deadline: number;
     /** True when the caller marks the request as not idempotent. */
     readonly nonIdempotent: boolean;
@@ -32,7 +32,7 @@
 /**
  * Reads the headers that accompany any request.
  *
- * @param timeout - The time for the request in milliseconds when the caller sets none, and the most it may set.
+ * @param timeout - Milliseconds for the request: the default, and the maximum that a caller may set.
  * @internal
  */
 export function readRequestHeaders(
@@ -57,5 +57,5 @@
 export function malformed(error: z.ZodError): Failure {
     const issue = error.issues[0];
     const path = issue?.path.join(".") ?? "";
-    return failure(requestCodes.malformed, `${path}: ${issue?.message ?? "not as expected"}`, { path });
+    return failure(requestCodes.malformed, `${path}: ${issue?.message ?? "invalid value"}`, { path });
 }
--- a/packages/entry/src/lib/http/BodyReader.ts
+++ b/packages/entry/src/lib/http/BodyReader.ts
@@ -3,22 +3,22 @@
 import { type Exchange } from "./Exchange.js";
 
 /**
- * Reads request bodies, within a limit for each and one for the bodies of all requests in progress together.
+ * Reads request bodies, with a limit on each body and on the total size of the bodies of all requests in progress.
  *
  * @internal
  */
 export class BodyReader {
     private held = 0;
 
-    /** @param maxMemory - Bytes that all bodies together may hold. */
+    /** @param maxMemory - Maximum total size of all bodies in bytes. */
     constructor(private readonly maxMemory: number) {}
 
     /**
      * Reads a whole body.
      *
-     * @param limit - Bytes that this body may have.
-     * @returns The body; `tooLarge`, `overloaded` when all bodies together hold too much, or `cancelled` when the
-     * caller went away.
+     * @param limit - Maximum size of this body in bytes.
+     * @returns The body, or `tooLarge`, or `overloaded` if the bodies of all requests exceed the memory limit, or
+     * `cancelled` if the caller disconnected.
      */
     async read(exchange: Exchange, limit: number): Promise<Outcome<Uint8Array<ArrayBuffer>>> {
         const { request } = exchange;
@@ -38,12 +38,20 @@
                 }
                 else if (this.held > this.maxMemory) {
                     resolve(
-                        Result.err(failure(requestCodes.overloaded, "the bodies of all requests hold too much memory")),
+                        Result.err(
+                            failure(
+                                requestCodes.overloaded,
+                                `the bodies of all requests exceed ${this.maxMemory} bytes`,
+                            ),
+                        ),
                     );
                 }
             });
             request.once("end", () => resolve(Result.ok(body.whole())));
-            request.once("close", () => resolve(Result.err(failure(requestCodes.cancelled, "the caller went away"))));
+            request.once(
+                "close",
+                () => resolve(Result.err(failure(requestCodes.cancelled, "the caller disconnected"))),
+            );
         });
         request.removeAllListeners("data");
         request.pause();
--- a/packages/entry/src/lib/http/CallerServer.ts
+++ b/packages/entry/src/lib/http/CallerServer.ts
@@ -13,20 +13,20 @@
     readonly listen: Address;
     readonly limits: EntryLimits;
     readonly clock: Clock;
-    /** Takes each request. It answers in every case; a throw is a fault of the program. */
+    /** Handles each request and always sends a response; throwing indicates a bug. */
     readonly handle: (exchange: Exchange) => Promise<void>;
-    /** Takes note of a request that was refused before its run began, so many milliseconds after its arrival. */
+    /** Called for a request that was refused before its run began, with the milliseconds since its arrival. */
     readonly onRefused: (cause: Failure, duration: number) => void;
-    /** Takes a fault of the program. */
-    readonly onFault: (fault: unknown) => void;
+    /** Called with an unexpected error of the handler. */
+    readonly onUnexpectedError: (fault: unknown) => void;
 }
 
-/** How often connections are checked against their time limits, in milliseconds. */
+/** Milliseconds between checks of the connections' time limits. */
 const checkInterval = 500;
 
 /**
- * The HTTP server that callers talk to. It holds the limits on headers, time and connections, and turns what HTTP
- * itself refuses into the same error bodies as every other refusal.
+ * The HTTP server for callers. It enforces the limits on headers, time and connections, and answers requests that the
+ * HTTP parser rejects with the same error bodies as all other refusals.
  *
  * @internal
  */
@@ -46,12 +46,12 @@
             keepAliveTimeout: limits.keepAliveTimeout,
             connectionsCheckingInterval: checkInterval,
             noDelay: true,
-        }, (request, response) => this.take(request, response));
+        }, (request, response) => this.handleRequest(request, response));
         this.server.maxConnections = limits.maxConnections;
         this.server.on("clientError", (error: NodeJS.ErrnoException, socket) => refuseConnection(error, socket));
     }
 
-    /** Starts to listen. @returns Where it listens. */
+    /** Starts listening. @returns The address that it listens on. */
     listen(): Promise<Outcome<Address>> {
         const { host, port } = this.options.listen;
         return new Promise(resolve => {
@@ -65,8 +65,8 @@
         });
     }
 
-    /** From now on every response closes its connection. */
-    closeConnections(): void {
+    /** Makes every further response close its connection. */
+    disableKeepAlive(): void {
         this.closing = true;
     }
 
@@ -82,8 +82,8 @@
         this.server.closeAllConnections();
     }
 
-    private take(request: IncomingMessage, response: ServerResponse): void {
-        const { clock, handle, limits, onFault, onRefused } = this.options;
+    private handleRequest(request: IncomingMessage, response: ServerResponse): void {
+        const { clock, handle, limits, onUnexpectedError, onRefused } = this.options;
         if (this.closing) {
             response.setHeader("Connection", "close");
         }
@@ -100,7 +100,7 @@
             return;
         }
         handle(exchange).catch((fault: unknown) => {
-            onFault(fault);
+            onUnexpectedError(fault);
             response.destroy();
         });
     }
@@ -115,7 +115,7 @@
     }
 }
 
-/** Answers a connection on which no request could be read. */
+/** Sends an error response on a connection on which no valid request could be read. */
 function refuseConnection(error: NodeJS.ErrnoException, socket: Duplex): void {
     if (!socket.writable || error.code === "ECONNRESET") {
         socket.destroy();
--- a/packages/entry/src/lib/http/Exchange.ts
+++ b/packages/entry/src/lib/http/Exchange.ts
@@ -7,7 +7,7 @@
     readonly request: IncomingMessage;
     readonly response: ServerResponse;
     readonly clock: Clock;
-    /** Runs for a request that is refused before its run began. */
+    /** Called for a request that is refused before its run began. */
     readonly onRefused: (cause: Failure) => void;
 }
 
@@ -20,10 +20,10 @@
  * @internal
  */
 export class Exchange {
-    /** Identifies the request between processes. The caller's own `X-Request-Id` only accompanies it. */
+    /** Identifies the request between processes. The caller's own `X-Request-Id` is only passed along. */
     readonly id = uniqueId();
     readonly callerRequest: string | undefined;
-    /** The clock's time when the headers had arrived. */
+    /** The clock's time at which the headers had arrived. */
     readonly arrived: number;
     readonly request: IncomingMessage;
     readonly response: ServerResponse;
@@ -58,7 +58,7 @@
         return this.request.method ?? "GET";
     }
 
-    /** True once the caller has gone away before its whole answer. */
+    /** True once the caller has disconnected before receiving its complete answer. */
     get disconnected(): boolean {
         return this.gone;
     }
@@ -68,7 +68,7 @@
         return Array.isArray(value) ? value[0] : value;
     }
 
-    /** Runs a function once if the caller goes away before it has its whole answer. */
+    /** Calls a function once if the caller disconnects before receiving its complete answer. */
     onDisconnect(handler: () => void): void {
         this.response.once("close", () => {
             if (!this.response.writableFinished) {
@@ -77,7 +77,7 @@
         });
     }
 
-    /** Sends a whole response with a JSON body, unless one has begun. */
+    /** Sends a complete response with a JSON body, unless a response has already begun. */
     sendJson(status: number, body: unknown, headers: OutgoingHttpHeaders = {}): void {
         if (this.response.headersSent || this.response.destroyed) {
             return;
@@ -94,14 +94,14 @@
     /**
      * Refuses the request before its run has begun.
      *
-     * @param status - The HTTP status, when it is not that of the result code.
+     * @param status - The HTTP status, if it differs from that of the result code.
      */
     refuse(failure: Failure, status?: number, headers?: OutgoingHttpHeaders): void {
         this.onRefused(failure);
         this.sendFailure(failure, status, headers);
     }
 
-    /** Sends a refusal or failure as the whole response. */
+    /** Sends a refusal or failure as the complete response. */
     sendFailure(failure: Failure, status: number = failure.code.status, headers: OutgoingHttpHeaders = {}): void {
         const retryAfter = failure.code.retry === "later" ? retryAfterOf(failure) : undefined;
         const retryHeaders = retryAfter === undefined ? {} : { "Retry-After": Math.ceil(retryAfter / 1000) };
@@ -113,5 +113,5 @@
     return value !== undefined && value.length <= maxCallerRequest && printable.test(value) ? value : undefined;
 }
 
-/** Errors of a socket end in `close`, which is what the request acts on. */
+/** Socket errors need no handling of their own: they are followed by `close`, which the request handles. */
 function ignore(): void {}
--- a/packages/entry/src/lib/http/PacedWriter.ts
+++ b/packages/entry/src/lib/http/PacedWriter.ts
@@ -6,16 +6,16 @@
 export interface PacedWriterOptions {
     readonly response: ServerResponse;
     readonly clock: Clock;
-    /** Milliseconds for which the caller may take nothing of what waits. */
+    /** Milliseconds without progress on pending data after which the caller is disconnected. */
     readonly stallTimeout: number;
     readonly memory: ReplyMemory;
-    /** Runs when the caller has taken what waited. */
+    /** Called when the pending data has been written out. */
     readonly onDrain: () => void;
 }
 
 /**
- * Writes a response as fast as its caller reads. A caller that takes nothing for too long, or for whom too much waits,
- * is cut off; the response's `close` event tells the rest.
+ * Writes a response with backpressure. A caller that reads nothing for too long, or for whom too much data is pending,
+ * is disconnected; the response then emits `close`, which ends the request.
  *
  * @internal
  */
@@ -25,8 +25,8 @@
     private scheduled = false;
     private stall: Timer | undefined;
     private waiting = false;
-    private counted = 0;
-    /** True when this writer frames the chunks of the body, in place of Node. */
+    private countedBytes = 0;
+    /** True if this writer, and not Node.js, applies the chunked transfer coding to the body. */
     private framing = false;
 
     constructor(options: PacedWriterOptions) {
@@ -43,25 +43,25 @@
         return !this.waiting;
     }
 
-    /** Bytes that wait for a slow caller, with their framing; 0 while the caller is not slow. */
+    /** Bytes pending for a slow caller, including their framing; 0 while the caller is not slow. */
     get waitingBytes(): number {
         return this.waiting ? this.options.response.writableLength : 0;
     }
 
     /**
-     * Begins a response of text pieces. Pieces are framed here, as one string each: Node hands a chunk to the operating
-     * system in five parts, which costs more than all else that is done for a token.
+     * Begins a response of text pieces. Each piece is framed here as one string: Node.js passes a chunk to the
+     * operating system in five parts, which costs more than all other work for a token.
      */
     begin(status: number, headers: OutgoingHttpHeaders): void {
         const { response } = this.options;
         response.writeHead(status, headers);
-        // False for callers of HTTP 1.0, whose response ends with the connection.
+        // False for HTTP 1.0 callers, whose response ends when the connection closes.
         this.framing = response.chunkedEncoding;
         response.chunkedEncoding = false;
     }
 
     /**
-     * Queues text. What is queued in one turn of the event loop leaves in one write.
+     * Queues text. All text queued in one turn of the event loop is sent in one write.
      *
      * @returns False while the caller is slow.
      */
@@ -74,19 +74,19 @@
         return !this.waiting;
     }
 
-    /** Writes bytes at once. Returns false while the caller is slow. */
+    /** Writes bytes immediately. Returns false while the caller is slow. */
     write(data: Uint8Array): boolean {
         return this.push(data);
     }
 
-    /** Writes what is queued and ends the response. */
+    /** Writes the queued text and ends the response. */
     end(text = ""): void {
         const { response } = this.options;
         const rest = this.pending + text;
         this.pending = "";
         if (!response.destroyed) {
             response.end(this.framing ? `${frame(rest)}${lastFrame}` : rest);
-            this.watch();
+            this.watchStall();
         }
     }
 
@@ -106,17 +106,17 @@
         }
         if (!response.write(data)) {
             this.waiting = true;
-            this.watch();
+            this.watchStall();
             this.count(response.writableLength);
         }
-        if (this.waiting && memory.exceeded(this.counted)) {
+        if (this.waiting && memory.exceeded(this.countedBytes)) {
             response.destroy();
         }
         return !this.waiting;
     }
 
-    /** Cuts the caller off when it takes nothing for too long. */
-    private watch(): void {
+    /** Disconnects the caller if it reads nothing within the stall timeout. */
+    private watchStall(): void {
         const { clock, response, stallTimeout } = this.options;
         if (this.stall !== undefined) {
             return;
@@ -132,14 +132,14 @@
                 return;
             }
             if (this.waiting || response.writableEnded) {
-                this.watch();
+                this.watchStall();
             }
         }, stallTimeout);
     }
 
     private count(waiting: number): void {
-        this.options.memory.changed(this.counted, waiting);
-        this.counted = waiting;
+        this.options.memory.changed(this.countedBytes, waiting);
+        this.countedBytes = waiting;
     }
 
     private drained(): void {
@@ -151,12 +151,12 @@
 
 const lastFrame = "0\r\n\r\n";
 
-/** A piece of a body in the chunked transfer coding of HTTP 1.1. */
+/** Encodes a piece of a body in the chunked transfer coding of HTTP 1.1. */
 function frame(text: string): string {
     return text === "" ? "" : `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`;
 }
 
-/** Bytes of the connection that the operating system has taken. */
+/** Bytes of the connection that have been handed to the operating system. */
 function bytesTaken(response: ServerResponse): number {
     const { socket } = response;
     return socket === null ? 0 : socket.bytesWritten - socket.writableLength;
--- a/packages/entry/src/lib/http/ReplyMemory.ts
+++ b/packages/entry/src/lib/http/ReplyMemory.ts
@@ -1,8 +1,8 @@
-/** Bytes for one caller that never count as too many, however much waits for the others. */
-const alwaysAllowed = 65_536;
+/** Bytes that may always be pending for one caller, regardless of the total for all callers. */
+const alwaysAllowedBytes = 65_536;
 
 /**
- * Counts the bytes of answers that wait for slow callers, over the whole process.
+ * Counts the bytes of answers that are pending for slow callers, across the whole process.
  *
  * @internal
  */
@@ -10,18 +10,18 @@
     private held = 0;
 
     /**
-     * @param maxEach - Bytes that may wait for one caller.
-     * @param maxAll - Bytes that may wait for all callers together.
+     * @param maxPerCaller - Maximum bytes that may be pending for one caller.
+     * @param maxTotal - Maximum bytes that may be pending for all callers together.
      */
-    constructor(private readonly maxEach: number, private readonly maxAll: number) {}
+    constructor(private readonly maxPerCaller: number, private readonly maxTotal: number) {}
 
-    /** Takes note that what waits for one caller has changed. */
+    /** Updates the total after the bytes pending for one caller have changed. */
     changed(before: number, after: number): void {
         this.held += after - before;
     }
 
-    /** Whether a caller must be cut off for what waits for it. */
+    /** Whether a caller must be disconnected because of the bytes pending for it. */
     exceeded(waiting: number): boolean {
-        return waiting > this.maxEach || (this.held > this.maxAll && waiting > alwaysAllowed);
+        return waiting > this.maxPerCaller || (this.held > this.maxTotal && waiting > alwaysAllowedBytes);
     }
 }
--- a/packages/entry/src/lib/http/errorBody.ts
+++ b/packages/entry/src/lib/http/errorBody.ts
@@ -1,14 +1,14 @@
 import { type Failure } from "@waxwingspar/utils";
 
 /**
- * The body of every refusal and failure, in the shape that clients of the usual model APIs expect.
+ * The body of every refusal and failure, in the format that clients of common model APIs expect.
  *
  * @public
  */
 export interface ErrorBody {
     readonly error: {
         readonly message: string;
-        /** The kind of error, as the usual client libraries know it. */
+        /** The error type in the terms of common client libraries. */
         readonly type: string;
         /** The name of the result code. */
         readonly code: string;
@@ -18,16 +18,16 @@
         readonly execution: string;
         /** The field at fault, as a dotted path. */
         readonly param?: string;
-        /** Milliseconds until the same request may be sent again. Absent when it should not be. */
+        /** Milliseconds until the same request may be sent again; absent if it should not be. */
         readonly retry_after_ms?: number;
     };
 }
 
-/** When to come back if the failure itself does not say, in milliseconds. */
+/** Milliseconds after which to retry if the failure gives no time. */
 const defaultRetryAfter = 1_000;
 
 /**
- * Milliseconds until the request may be sent again, or undefined when it should not be.
+ * Milliseconds until the request may be sent again, or undefined if it should not be.
  *
  * @internal
  */
--- a/packages/entry/src/lib/http/hostileInput.test.ts
+++ b/packages/entry/src/lib/http/hostileInput.test.ts
@@ -4,7 +4,7 @@
 import test from "node:test";
 import { callerToken, TestSite } from "../testing/TestSite.js";
 
-/** Sends bytes, ends the connection, and returns what came back. */
+/** Sends bytes, ends the connection, and returns what was received. */
 function send(port: number, bytes: Uint8Array): Promise<string> {
     return new Promise(resolve => {
         let received = "";
--- a/packages/entry/src/lib/organisationLimits.test.ts
+++ b/packages/entry/src/lib/organisationLimits.test.ts
@@ -29,7 +29,7 @@
     agent.send({ type: "replyBody", request, data: Buffer.from("run"), last: true, load: agent.load(false) });
 }
 
-test("a rate is held before any work, over models and calls together", async context => {
+test("a rate limit covers models and calls together and is enforced before any work", async context => {
     const site = await startLimited(context, { requestsPerSecond: 1 });
     const calling = site.fetch(parts);
     reply(site.agent(0), await site.agent(0).wait("call"));
@@ -47,7 +47,7 @@
     assert.equal((await again).status, 200);
 });
 
-test("every end of a request counts it out", async context => {
+test("every way in which a request ends releases it from the in-flight limit", async context => {
     const site = await startLimited(context, { maxInFlight: 1 });
     const first = site.fetch(parts);
     const call = await site.agent(0).wait("call");
@@ -84,7 +84,7 @@
     assert.equal((await last).status, 200);
 });
 
-test("a duplicate of a running request is not told that it did not run", async context => {
+test("a limit does not report a duplicate of a running request as not run", async context => {
     const clock = new ManualClock();
     const claims = new FakeClaims();
     const limitsOf = (index: number) => createOrganisationLimits({ clock, part: () => ({ index, count: 2 }) });
@@ -105,7 +105,7 @@
     assert.equal((await running).status, 200);
 });
 
-test("an organisation whose requests fail leaves another its retries", async context => {
+test("the failed requests of one organisation do not use up the retries of another", async context => {
     const site = await startLimited(context, {}, { anonymousOrganisation: "depots" });
     site.agent(0).react = (message, agent) => {
         if (message.type === "call") {
--- a/packages/entry/src/lib/routingTargets.ts
+++ b/packages/entry/src/lib/routingTargets.ts
@@ -1,10 +1,10 @@
 import { type Configuration, type Resource } from "@waxwingspar/config";
 import { type RoutingTarget } from "@waxwingspar/policy";
 
-type Held = RoutingTarget["holds"][number];
+type HeldLayers = RoutingTarget["holds"][number];
 
 /**
- * What the router has to know about every target: its spec, with the layers of each placement that is ready.
+ * What the router needs to know about each target: its spec, with the layers of the placements that are ready.
  *
  * @internal
  */
@@ -13,7 +13,7 @@
     return configuration.list("target").map(target => toRoutingTarget(target, placed.get(target.name) ?? []));
 }
 
-function toRoutingTarget({ name, spec }: Resource<"target">, placed: readonly Held[]): RoutingTarget {
+function toRoutingTarget({ name, spec }: Resource<"target">, placed: readonly HeldLayers[]): RoutingTarget {
     return {
         name,
         host: spec.host,
@@ -29,12 +29,12 @@
     };
 }
 
-function isSame(a: Held, b: Held): boolean {
+function isSame(a: HeldLayers, b: HeldLayers): boolean {
     return a.model === b.model && a.version === b.version && a.first === b.first && a.last === b.last;
 }
 
-function placedLayers(configuration: Configuration): Map<string, Held[]> {
-    const placed = new Map<string, Held[]>();
+function placedLayers(configuration: Configuration): Map<string, HeldLayers[]> {
+    const placed = new Map<string, HeldLayers[]>();
     for (const { spec } of configuration.list("placement")) {
         if (!spec.ready) {
             continue;
