--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -176,7 +176,7 @@
 
     private drain(limit: number): Promise<number> {
         return new Promise(resolve => {
-            const timer = this.options.clock.schedule(() => resolve(this.open.cutAll()), limit);
+            const timer = this.options.clock.schedule(() => resolve(this.open.abortAll()), limit);
             this.open.whenEmpty(() => {
                 timer.cancel();
                 resolve(0);
--- a/packages/entry/src/lib/OpenRequests.ts
+++ b/packages/entry/src/lib/OpenRequests.ts
@@ -9,7 +9,7 @@
 export class OpenRequest {
     /** The span of the whole request. */
     readonly span: Span;
-    private cutHandler: (() => void) | undefined;
+    private abortHandler: (() => void) | undefined;
     private answeredHandler: (() => void) | undefined;
     private spanEnded = false;
 
@@ -17,19 +17,19 @@
         this.span = span;
     }
 
-    /** Sets what cuts the request off when the process must stop. */
-    onCut(handler: () => void): void {
-        this.cutHandler = handler;
+    /** Sets the function that aborts the request when the process must stop. */
+    onAbort(handler: () => void): void {
+        this.abortHandler = handler;
     }
 
-    /** Sets what runs once, when the request needs no more from targets, however it ended. */
+    /** Sets a function that runs once, when the request needs nothing more from targets, whatever its result. */
     onAnswered(handler: () => void): void {
         this.answeredHandler = handler;
     }
 
-    /** The request needs no more from targets; only the response has to be written out. */
+    /** Marks that the request needs nothing more from targets; only its response may still have to be written out. */
     answered(): void {
-        this.cutHandler = undefined;
+        this.abortHandler = undefined;
         this.answeredHandler?.();
         this.answeredHandler = undefined;
         if (!this.spanEnded) {
@@ -38,14 +38,14 @@
         }
     }
 
-    /** Cuts the request off. */
-    cut(): void {
-        this.cutHandler?.();
+    /** Aborts the request. */
+    abort(): void {
+        this.abortHandler?.();
     }
 }
 
 /**
- * The requests in progress: from their headers to the last byte of their responses.
+ * The requests in progress, each from the arrival of its headers to the last byte of its response.
  *
  * @internal
  */
@@ -62,7 +62,7 @@
         response.once("close", () => this.remove(request));
     }
 
-    /** Runs a function as soon as no request is in progress. */
+    /** Calls a function as soon as no request is in progress. */
     whenEmpty(handler: () => void): void {
         if (this.open.size === 0) {
             handler();
@@ -71,16 +71,16 @@
         this.emptyHandler = handler;
     }
 
-    /** Cuts off what is still in progress. Returns how many requests that were. */
-    cutAll(): number {
-        const cut = [...this.open];
-        for (const [request, response] of cut) {
-            request.cut();
+    /** Aborts all requests in progress and returns their number. */
+    abortAll(): number {
+        const aborted = [...this.open];
+        for (const [request, response] of aborted) {
+            request.abort();
             if (!response.writableEnded) {
                 response.destroy();
             }
         }
-        return cut.length;
+        return aborted.length;
     }
 
     private remove(request: OpenRequest): void {
--- a/packages/entry/src/lib/links/AgentLink.ts
+++ b/packages/entry/src/lib/links/AgentLink.ts
@@ -2,32 +2,32 @@
 import { type Link, type LoadReport, type Message } from "@waxwingspar/transport";
 
 /**
- * What a request does with messages of its agent.
+ * Handles the agent's messages for one request.
  *
  * @internal
  */
 export interface LinkHandler {
     onMessage(message: Message, link: AgentLink): void;
-    /** The link closed: whatever was in progress on it has an unknown outcome. */
+    /** Called when the link has closed: the outcome of work in progress on it is unknown. */
     onLost(link: AgentLink): void;
 }
 
 /**
- * A link that closed.
+ * Details of a closed link.
  *
  * @internal
  */
 export interface ClosedLink {
-    /** The targets behind it. */
+    /** Names of the targets that were reached over it. */
     readonly targets: readonly string[];
-    /** How many requests were in progress on it. */
+    /** Number of requests that were in progress on it. */
     readonly open: number;
-    /** True when the agent had told before that it leaves. */
+    /** True if the agent had announced before that it was leaving. */
     readonly announced: boolean;
 }
 
 /** @internal */
-export type LinkClosed = (link: ClosedLink) => void;
+export type ClosedLinkHandler = (link: ClosedLink) => void;
 
 /**
  * One open link to an agent, shared by all requests that this agent serves.
@@ -43,10 +43,10 @@
     constructor(
         private readonly link: Link,
         private readonly router: Router,
-        private readonly closed: LinkClosed,
+        private readonly onClosed: ClosedLinkHandler,
     ) {
         link.onMessage(message => this.dispatch(message));
-        link.onClose(() => this.lose());
+        link.onClose(() => this.handleClose());
     }
 
     get open(): boolean {
@@ -58,12 +58,12 @@
         return this.link.peer.incarnation;
     }
 
-    /** Hands messages of a request to a handler from now on. */
+    /** Registers the handler for messages of a request. */
     attach(request: string, handler: LinkHandler): void {
         this.handlers.set(request, handler);
     }
 
-    /** Drops messages of a request from now on. */
+    /** Removes the handler of a request; further messages of the request are dropped. */
     detach(request: string): void {
         this.handlers.delete(request);
     }
@@ -83,12 +83,12 @@
         }
     }
 
-    private lose(): void {
+    private handleClose(): void {
         for (const target of this.targets) {
             this.router.unreachable(target);
         }
         const handlers = [...this.handlers.values()];
-        this.closed({ targets: [...this.targets], open: handlers.length, announced: this.leaving });
+        this.onClosed({ targets: [...this.targets], open: handlers.length, announced: this.leaving });
         this.handlers.clear();
         for (const handler of handlers) {
             handler.onLost(this);
--- a/packages/entry/src/lib/links/AgentLinks.test.ts
+++ b/packages/entry/src/lib/links/AgentLinks.test.ts
@@ -9,7 +9,7 @@
 import { FakeClaims } from "../testing/FakeClaims.js";
 import { FakeRouter } from "../testing/FakeRouter.js";
 
-/** An entry with a link to one agent, and the messages of its log with their levels. */
+/** Starts an entry with a link to one agent, and collects its log messages with their levels. */
 async function linkedEntry() {
     const clock = new ManualClock();
     const agent = new FakeAgent("target-1", clock, 1);
@@ -37,7 +37,7 @@
 const warning = "40 entry: a link was lost";
 const quiet = "20 entry: a link closed";
 
-test("the loss of a link is a warning, and so is one of an agent that stays", async () => {
+test("the loss of a link is a warning if the agent is no longer leaving", async () => {
     const { agent, clock, log } = await linkedEntry();
     agent.sendLoad(true);
     agent.sendLoad(false);
@@ -46,7 +46,7 @@
     assert.deepEqual(log, [warning]);
 });
 
-test("a link that closes after the agent told that it leaves is no warning", async () => {
+test("the closing of a link of a leaving agent is no warning", async () => {
     const { agent, clock, log } = await linkedEntry();
     agent.sendLoad(true);
     await clock.advanceAsync(10);
--- a/packages/entry/src/lib/links/AgentLinks.ts
+++ b/packages/entry/src/lib/links/AgentLinks.ts
@@ -2,10 +2,10 @@
 import { type Address, type Link, type LinkPool } from "@waxwingspar/transport";
 import { failure, type Outcome, transportCodes } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { AgentLink, type LinkClosed } from "./AgentLink.js";
+import { AgentLink, type ClosedLinkHandler } from "./AgentLink.js";
 
 /**
- * An agent, by the name of its target and where it listens.
+ * The address of an agent and the name of its target.
  *
  * @internal
  */
@@ -17,30 +17,29 @@
 export interface AgentLinksOptions {
     readonly links: LinkPool;
     readonly router: Router;
-    /** Runs when a link closed. */
-    readonly onClosed?: LinkClosed;
+    /** Called when a link has closed. */
+    readonly onClosed?: ClosedLinkHandler;
 }
 
 /**
- * The entry's links to agents: hands each message to the request it belongs to, and tells the router about load and
- * losses.
+ * The entry's links to agents. Passes each message to its request, and reports load and lost links to the router.
  *
  * @internal
  */
 export class AgentLinks {
     private readonly pool: LinkPool;
     private readonly router: Router;
-    private readonly onClosed: LinkClosed;
+    private readonly onClosed: ClosedLinkHandler;
     private readonly agents = new Map<Link, AgentLink>();
 
     constructor({ links, router, onClosed = () => undefined }: AgentLinksOptions) {
         this.onClosed = onClosed;
         this.pool = links;
         this.router = router;
-        links.onOpen(link => this.adopt(link));
+        links.onOpen(link => this.wrap(link));
     }
 
-    /** Returns the link to an agent, opening it if need be. A failure proves that nothing was sent. */
+    /** Returns the link to an agent, opening it if necessary. A failure proves that nothing was sent. */
     async connect(agent: AgentAddress): Promise<Outcome<AgentLink>> {
         const open = this.pool.current(agent);
         const connected = open !== undefined ? Result.ok<Link, never>(open) : await this.pool.connect(agent);
@@ -48,7 +47,7 @@
             this.router.unreachable(agent.target);
             return Result.err(connected.error);
         }
-        const link = this.agents.get(connected.value) ?? this.adopt(connected.value);
+        const link = this.agents.get(connected.value) ?? this.wrap(connected.value);
         if (!link.open) {
             return Result.err(failure(transportCodes.notConnected, "the link closed before anything was sent"));
         }
@@ -56,7 +55,7 @@
         return Result.ok(link);
     }
 
-    private adopt(link: Link): AgentLink {
+    private wrap(link: Link): AgentLink {
         const known = this.agents.get(link);
         if (known !== undefined) {
             return known;
--- a/packages/entry/src/lib/links/ClaimBinding.test.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.test.ts
@@ -8,17 +8,17 @@
 const orders = "/services/records/work-orders";
 const keyed = { "Idempotency-Key": "order-7" };
 
-/** An entry whose first request was claimed for target-1, which has left since then. */
-async function startLeft(
+/** Starts an entry whose first request was claimed for target-1, which has left afterwards. */
+async function startWithGoneRunner(
     context: TestContext,
     outcome: FinalOutcome,
 ): Promise<{ site: TestSite; asked: string[]; }> {
     const asked: string[] = [];
-    const findLeft = ({ id }: { id: string; }): Promise<FinalOutcome> => {
+    const findFinalOutcome = ({ id }: { id: string; }): Promise<FinalOutcome> => {
         asked.push(id);
         return Promise.resolve(outcome);
     };
-    const site = await new TestSite({ findLeft }).start();
+    const site = await new TestSite({ findLeft: findFinalOutcome }).start();
     context.after(() => site.entry.stop());
     const first = site.post(orders, { part: 7 }, keyed);
     await site.agent(0).wait("call");
@@ -36,10 +36,10 @@
     return assert.fail(`answered too early: ${await (await responding).clone().text()}`);
 }
 
-test("a duplicate gets the answer that its runner left behind", async context => {
+test("a duplicate gets the answer that its runner stored before it left", async context => {
     const body = Buffer.from("run 1").toString("base64");
     const reply = { status: 201, headers: { "content-type": "text/plain", "x-part": "7" }, body };
-    const { site, asked } = await startLeft(context, { kind: "answered", reply });
+    const { site, asked } = await startWithGoneRunner(context, { kind: "answered", reply });
     const second = await site.post(orders, { part: 7 }, keyed);
     assert.deepEqual([second.status, second.headers.get("x-part"), await second.text()], [201, "7", "run 1"]);
     assert.equal(asked.length, 1);
@@ -49,7 +49,7 @@
 });
 
 test("a duplicate runs elsewhere when its runner has proved that it did not run", async context => {
-    const { site, asked } = await startLeft(context, { kind: "notRun" });
+    const { site, asked } = await startWithGoneRunner(context, { kind: "notRun" });
     const [first] = site.agent(0).all("call");
     const responding = site.post(orders, { part: 7 }, keyed);
     const moved = await Promise.race([site.agent(1).wait("call"), failIfAnswered(responding)]);
@@ -62,8 +62,8 @@
     assert.equal(await (await responding).text(), "run 1");
 });
 
-test("two duplicates at once move a claim once", async context => {
-    const { site } = await startLeft(context, { kind: "notRun" });
+test("two concurrent duplicates move a claim once", async context => {
+    const { site } = await startWithGoneRunner(context, { kind: "notRun" });
     const responding = [1, 2].map(() => site.post(orders, { part: 7 }, keyed));
     await Promise.race([site.agent(1).wait("call"), ...responding.map(failIfAnswered)]);
     const calls = [await site.agent(1).wait("call"), await site.agent(1).wait("call", 2)];
@@ -77,8 +77,8 @@
     assert.deepEqual(texts, ["run 1", "run 1"]);
 });
 
-test("a duplicate whose runner left no proof gets unknown and runs nowhere", async context => {
-    const { site } = await startLeft(context, { kind: "unknown" });
+test("a duplicate whose runner stored no outcome gets unknown and is not run", async context => {
+    const { site } = await startWithGoneRunner(context, { kind: "unknown" });
     assert.equal(await numberOf(await site.post(orders, { part: 7 }, keyed)), requestCodes.outcomeUnknown.number);
     assert.equal(site.agents.flatMap(agent => agent.all("call")).length, 1);
 });
--- a/packages/entry/src/lib/links/ClaimBinding.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.ts
@@ -6,7 +6,7 @@
 import { type AgentAddress, type AgentLinks } from "./AgentLinks.js";
 
 /**
- * What a request that is not idempotent claims; the runner is known only once a target has been chosen.
+ * The claim request of a request that is not idempotent, before a target and thus the runner has been chosen.
  *
  * @internal
  */
@@ -18,18 +18,18 @@
     readonly links: AgentLinks;
     readonly configuration: Configuration;
     readonly subject: ClaimSubject;
-    /** Tells what the runner of a claim wrote down when it left gracefully. By default nothing. */
+    /** Looks up the final outcome that the runner of a claim stored before it left; by default there is none. */
     readonly findLeft?: FindLeft;
 }
 
-/** Looks up what became of a claim whose runner is gone. @public */
+/** Looks up the final outcome of a claim whose runner is gone. @public */
 export type FindLeft = (claim: Claim) => Promise<FinalOutcome>;
 
-/** Runners of one claim, each gone after another, that are looked up in one attempt. */
-const maxRunnersGone = 3;
+/** Maximum number of successive runners of one claim, all gone, whose outcomes are looked up in one attempt. */
+const maxGoneRunners = 3;
 
 /**
- * The one runner that a claim allows.
+ * The only runner that a claim allows, with the link to it.
  *
  * @internal
  */
@@ -45,7 +45,8 @@
 );
 
 /**
- * Ties a request that is not idempotent to the runner of its claim. It reaches that one process start and no other.
+ * Binds a request that is not idempotent to the runner of its claim, so that the request reaches only that incarnation
+ * of the process.
  *
  * @internal
  */
@@ -53,77 +54,81 @@
     private readonly options: ClaimBindingOptions;
     private claim: Claim | undefined;
     private released = false;
-    private earlier = false;
+    private wasClaimedBefore = false;
     private reply: StoredReply | undefined;
 
     constructor(options: ClaimBindingOptions) {
         this.options = options;
     }
 
-    /** The target that alone may run the request, once there is one. */
+    /** The only target that may run the request; undefined without a claim, or after its release. */
     get target(): string | undefined {
         return this.released ? undefined : this.claim?.runner.target;
     }
 
-    /** True while the claim is one that a duplicate of this request had recorded: that one may have run. */
-    get found(): boolean {
-        return this.earlier && !this.released;
+    /** True while the claim was recorded by an earlier duplicate of this request, which may have run. */
+    get isEarlierClaim(): boolean {
+        return this.wasClaimedBefore && !this.released;
     }
 
-    /** The answer of an earlier duplicate, once `bind` has found that its runner left it behind. */
+    /** The answer to an earlier duplicate, if `bind` found that the runner stored it before it left. */
     get leftReply(): StoredReply | undefined {
         return this.reply;
     }
 
     /**
-     * The runner refused the claim as not run and will never run it, so that another may.
+     * Releases the claim, after its runner refused it as not run. That runner will never run it, so another one may.
      *
-     * @returns True if the refusal may be a promise made to an earlier duplicate. It then says nothing about how the
-     * runner would answer now, and the claim may be moved to the same runner.
+     * @returns True if the refusal may be that of an earlier duplicate, which the runner repeats. The runner might
+     * accept the request now, so the claim may be moved to the same runner.
      */
     release(): boolean {
-        const found = this.found;
+        const isEarlierClaim = this.isEarlierClaim;
         this.released = true;
-        return found;
+        return isEarlierClaim;
     }
 
     /**
      * Records the claim for an agent, or finds the runner of an earlier duplicate.
      *
-     * @param agent - The agent that was chosen for a request without a claim.
-     * @param link - The link to it; its hello names the incarnation.
-     * @returns The runner to send to; `outcomeUnknown` when the claim's runner is gone and
-     * did not write down that it never ran; `keyReused`; `claimUnavailable`.
+     * @param agent - The agent chosen by the router, which becomes the runner if there is no claim yet.
+     * @param link - The link to it, whose hello contains the incarnation.
+     * @returns The runner to send the request to; or `outcomeUnknown` if the claim's runner is gone without a record
+     * that the request did not run; or `keyReused`; or `claimUnavailable`.
      */
     async bind(agent: AgentAddress, link: AgentLink): Promise<Outcome<BoundRunner>> {
         let bound = await this.bindOnce(agent, link);
-        for (let gone = 0; gone < maxRunnersGone && await this.releasedByLeaving(bound); gone++) {
+        for (let gone = 0; gone < maxGoneRunners && await this.releaseIfNotRun(bound); gone++) {
             bound = await this.bindOnce(agent, link);
         }
         return bound;
     }
 
-    /** Whether the claim's runner is gone, but has proved that it did not run the request, so that another may. */
-    private async releasedByLeaving(bound: Outcome<BoundRunner>): Promise<boolean> {
-        const { claim, options: { findLeft } } = this;
-        if (bound.isOk || bound.error !== runnerGone || claim === undefined || findLeft === undefined) {
+    /**
+     * Releases the claim if its runner is gone and has stored that it did not run the request.
+     *
+     * @returns Whether the claim was released.
+     */
+    private async releaseIfNotRun(bound: Outcome<BoundRunner>): Promise<boolean> {
+        const { claim, options: { findLeft: findFinalOutcome } } = this;
+        if (bound.isOk || bound.error !== runnerGone || claim === undefined || findFinalOutcome === undefined) {
             return false;
         }
-        const left = await findLeft(claim);
-        this.reply = left.kind === "answered" ? left.reply : undefined;
-        this.released = left.kind === "notRun";
+        const final = await findFinalOutcome(claim);
+        this.reply = final.kind === "answered" ? final.reply : undefined;
+        this.released = final.kind === "notRun";
         return this.released;
     }
 
     private async bindOnce(agent: AgentAddress, link: AgentLink): Promise<Outcome<BoundRunner>> {
         const request = { ...this.options.subject, runner: { target: agent.target, incarnation: link.incarnation } };
-        const recorded = await this.record(request);
+        const recorded = await this.acquireOrMove(request);
         if (recorded.isErr) {
             return Result.err(recorded.error);
         }
         this.claim = recorded.value;
         this.released = false;
-        this.earlier = !recorded.value.created;
+        this.wasClaimedBefore = !recorded.value.created;
         const { runner } = recorded.value;
         if (runner.target === agent.target) {
             return this.check(recorded.value, agent, link);
@@ -131,7 +136,7 @@
         return this.findRunner(recorded.value);
     }
 
-    private async record(request: ClaimRequest): Promise<Outcome<Claim>> {
+    private async acquireOrMove(request: ClaimRequest): Promise<Outcome<Claim>> {
         if (this.claim === undefined) {
             return this.options.claims.acquire(request);
         }
@@ -139,7 +144,7 @@
             return Result.ok(this.claim);
         }
         const moved = await this.options.claims.move(this.claim, request);
-        // Another entry may have moved the claim first: then it is found under its new runner.
+        // Another entry may have moved the claim first; `acquire` then returns it with its new runner.
         return moved.isOk ? moved : this.options.claims.acquire(request);
     }
 
--- a/packages/entry/src/lib/models/AnswerFormat.ts
+++ b/packages/entry/src/lib/models/AnswerFormat.ts
@@ -10,8 +10,7 @@
 }
 
 /**
- * Writes answers in the shapes that clients of the usual model APIs expect. What surrounds the text of a token is made
- * once for each request.
+ * Formats answers as clients of common model APIs expect them. The text around each token is built once per request.
  *
  * @internal
  */
@@ -30,7 +29,7 @@
         this.after = chunk.slice(split + 3);
     }
 
-    /** The event that begins a stream, if the shape has one. */
+    /** The event that begins a stream; empty if the format has none. */
     first(): string {
         return this.chat ? this.chunk({ role: "assistant", content: "" }, "", undefined) : "";
     }
@@ -45,7 +44,7 @@
         return this.chunk({}, "", end.finish);
     }
 
-    /** The event that follows the last one when the caller asked for usage figures. */
+    /** The usage event, which follows the last event if the caller asked for it. */
     usage(end: AnswerEnd): string {
         return event({ ...this.head, object: this.object(true), choices: [], usage: usageOf(end) });
     }
--- a/packages/entry/src/lib/models/AnswerSink.ts
+++ b/packages/entry/src/lib/models/AnswerSink.ts
@@ -1,7 +1,7 @@
 import { type Failure } from "@waxwingspar/utils";
 
 /**
- * The end of a whole answer.
+ * The end of a complete answer.
  *
  * @internal
  */
@@ -13,18 +13,18 @@
 }
 
 /**
- * Where an answer goes: a stream of events, or one whole response.
+ * The destination of an answer: a stream of events, or a single response.
  *
  * @internal
  */
 export interface AnswerSink {
     /**
-     * Takes the texts of the next tokens.
+     * Writes the texts of the next tokens.
      *
-     * @returns False while the caller is slow; the run then grants no credit until it is told to go on.
+     * @returns False while the caller is slow; the run then grants no credit until it is resumed.
      */
     write(texts: readonly string[]): boolean;
     end(end: AnswerEnd): void;
-    /** The answer cannot be completed. What was written before stays as it is. */
+    /** Ends an answer that cannot be completed. Text written before is not withdrawn. */
     fail(failure: Failure): void;
 }
--- a/packages/entry/src/lib/models/Attempt.ts
+++ b/packages/entry/src/lib/models/Attempt.ts
@@ -27,7 +27,9 @@
     readonly produced: readonly number[];
     readonly exporters: readonly Exporter[];
     readonly credit: number;
-    /** Milliseconds in which the first token of this attempt is wanted; the head refuses what it predicts to miss. */
+    /**
+     * Milliseconds within which the first token is due; the head refuses a request that it predicts to miss this bound.
+     */
     readonly firstTokenBound: number;
     readonly claim: string | undefined;
 }
@@ -43,10 +45,10 @@
     private readonly span: Span;
     private readonly sentAt: number;
     private lastSeen: number;
-    private waitedAt = -Infinity;
+    private extendedAt = -Infinity;
     private started = false;
-    /** True when stages may have fetched their KV cache from those of another attempt. */
-    private fetches = false;
+    /** True if the stages may have fetched their KV cache from the stages of another attempt. */
+    private mayFetchCache = false;
 
     constructor(options: AttemptOptions) {
         this.options = options;
@@ -67,7 +69,7 @@
     /** Sends the request to the head. */
     open({ produced, exporters, credit, firstTokenBound, claim }: OpenDetails): void {
         const { request, routed, link } = this.options;
-        this.fetches = exporters.length > 0;
+        this.mayFetchCache = exporters.length > 0;
         link.send({
             type: "open",
             request: request.id,
@@ -90,7 +92,7 @@
         });
     }
 
-    /** Takes note of tokens that came. */
+    /** Records the arrival of tokens. */
     tokens(now: number, count: number): void {
         if (this.started) {
             this.options.routed.token((now - this.lastSeen) / count);
@@ -103,27 +105,30 @@
         this.lastSeen = now;
     }
 
-    /** Tells the router how much of the prompt was in the prefix caches. A fetched KV cache would look like one. */
+    /**
+     * Reports to the router how much of the prompt was in the prefix caches. Skipped if the KV cache may have been
+     * fetched from another attempt, as that would be counted as a prefix hit.
+     */
     cached(counts: CachedCounts): void {
-        if (!this.fetches) {
+        if (!this.mayFetchCache) {
             const { request, routed } = this.options;
             routed.cached?.(cachedTextBlocks(request.prompt, counts));
         }
     }
 
-    /** Restarts the time after which the attempt counts as hung. */
+    /** Restarts the timeout for silence. */
     touch(now: number): void {
         this.lastSeen = now;
     }
 
-    /** Lets the attempt go on though nothing came, until it has been silent for as long again. */
+    /** Extends the timeout of a silent attempt by its full length. */
     wait(now: number): void {
-        this.waitedAt = now;
+        this.extendedAt = now;
     }
 
-    /** The clock's time at which the attempt counts as hung if nothing comes until then. */
-    silentAt(limits: EntryLimits): number {
-        const since = Math.max(this.lastSeen, this.waitedAt);
+    /** The clock's time at which the attempt times out if nothing arrives before. */
+    silenceDeadline(limits: EntryLimits): number {
+        const since = Math.max(this.lastSeen, this.extendedAt);
         return since + (this.started ? limits.tokenTimeout : limits.firstTokenTimeout);
     }
 
@@ -131,19 +136,19 @@
         this.options.link.send({ type: "credit", request: this.options.request.id, epoch: this.epoch, upTo });
     }
 
-    /** @param retain - True when another attempt follows that could use the KV cache of this one. */
+    /** @param retain - True if another attempt follows that could use the KV cache of this one. */
     cancel(retain: boolean): void {
         this.options.link.send({ type: "cancel", request: this.options.request.id, epoch: this.epoch, retain });
     }
 
-    /** Stages whose KV cache the next attempt may fetch: all but the one that failed. */
+    /** Stages from which the next attempt may fetch the KV cache: all except the one that failed. */
     exporters(failed: string | undefined): Exporter[] {
         return this.options.routed.stages
             .filter(stage => stage.target !== failed)
             .map(stage => ({ ...stage, epoch: this.epoch }));
     }
 
-    /** Reports the end to the router and drops what still comes. */
+    /** Reports the end to the router and drops all further messages. */
     end(result: AttemptEnd, target?: string): void {
         this.options.link.detach(this.options.request.id);
         this.options.routed.end(result, target);
--- a/packages/entry/src/lib/models/ModelRequest.ts
+++ b/packages/entry/src/lib/models/ModelRequest.ts
@@ -11,12 +11,12 @@
     readonly id: string;
     readonly organisation: string;
     readonly model: string;
-    /** The version that answers; it stays the same once a token was delivered. */
+    /** The version of the model. It does not change once a token has been delivered. */
     readonly version: string;
     readonly adapter: string | undefined;
     /** The number of layers of the model. */
     readonly layers: number;
-    /** Bytes of activations of one position. */
+    /** Bytes of the activations for one position. */
     readonly activationBytes: number;
     /** The bound on the first token, in milliseconds from arrival. */
     readonly firstTokenBound: number;
@@ -27,13 +27,13 @@
     readonly sampling: Sampling;
     /** The clock's time at which the request arrived. */
     readonly arrived: number;
-    /** The clock's time by which the caller wants the whole answer. */
+    /** Deadline for the complete answer, in the clock's time. */
     readonly deadline: number;
     /** Set for a request that is not idempotent. */
     readonly claim: ClaimSubject | undefined;
 }
 
-/** The same request for a version of its model. @internal */
+/** Returns the request for a certain version of its model. @internal */
 export function forVersion(request: Omit<ModelRequest, "version" | "prefix">, version: string): ModelRequest {
     const { model, adapter, prompt } = request;
     return { ...request, version, prefix: prefixHashes(`${model}\n${version}\n${adapter ?? ""}`, prompt) };
--- a/packages/entry/src/lib/models/RequestRun.test.ts
+++ b/packages/entry/src/lib/models/RequestRun.test.ts
@@ -16,7 +16,7 @@
     agent.send({ type: "failed", request, epoch, failure: { code: code.number, message: code.summary }, target });
 }
 
-/** Answers an `open` with all tokens that are still wanted. */
+/** Answers an `open` with all remaining tokens. */
 function answerAll(message: Message, agent: FakeAgent): void {
     if (message.type === "open") {
         const { maxTokens } = message.sampling;
@@ -43,7 +43,7 @@
     ]]);
 });
 
-test("the text before a stop string comes with the end, once, also when an attempt was lost before its end", async context => {
+test("the text before a stop string is sent once, with the end, also after a lost attempt", async context => {
     const site = await startSite(context);
     const responding = site.post("/v1/chat/completions", { ...chatBody(9, true), stop: ["!"] });
     site.agent(0).tokens(await site.agent(0).wait("open"), 0, 2);
@@ -56,7 +56,7 @@
     assert.deepEqual(await readStream(response), { text: " 0 1 oh", whole: true, error: undefined });
 });
 
-test("names the living stages of a failed attempt as exporters", async context => {
+test("names the remaining stages of a failed attempt as exporters", async context => {
     const site = await startSite(context);
     const responding = site.post("/v1/chat/completions", chatBody(1));
     const open = await site.agent(0).wait("open");
@@ -67,7 +67,7 @@
     assert.equal((await responding).status, 200);
 });
 
-test("a target that only leaves exports its cache to the next attempt", async context => {
+test("a leaving target exports its cache to the next attempt", async context => {
     const site = await startSite(context);
     site.agent(1).react = answerAll;
     const responding = site.post("/v1/chat/completions", chatBody(1));
@@ -157,10 +157,10 @@
 });
 
 /**
- * A caller read an answer whose head paused for longer than the limit on silence. The attempt was cancelled at once, and as nothing else
- * could serve the request, the answer was broken off with most of the caller's time left.
+ * Guards against cancelling an attempt whose head pauses for longer than the token timeout while no other target can
+ * serve the request: that would end the answer long before the caller's deadline.
  */
-test("an answer whose head pauses goes on when no other target can serve it", async context => {
+test("an answer continues after a pause of its head when no other target can serve it", async context => {
     const site = await startSite(context, { limits: { tokenTimeout: 500 } });
     const responding = site.post("/v1/chat/completions", chatBody(3, true));
     const open = await site.agent(0).wait("open");
@@ -174,7 +174,7 @@
     assert.deepEqual((await readStream(response)).text, " 0 1 2");
 });
 
-test("an answer whose head pauses goes on when no further attempt is allowed", async context => {
+test("an answer continues after a pause of its head when no further attempt is allowed", async context => {
     const site = await startSite(context, { limits: { tokenTimeout: 500, maxAttempts: 1 } });
     const responding = site.post("/v1/chat/completions", chatBody(2, true));
     const open = await site.agent(0).wait("open");
@@ -200,7 +200,7 @@
     assert.deepEqual([error.number, error.execution], [requestCodes.engineFailed.number, "unknown"]);
 });
 
-test("passes a refusal of the last target on at once", async context => {
+test("returns the refusal of the last target immediately", async context => {
     const site = await startSite(context);
     site.agents.forEach(agent => {
         agent.react = (message, self) => message.type === "open" && fail(self, message, requestCodes.limitReached);
@@ -259,7 +259,7 @@
     assert.equal(site.agent(1).received.length, 0);
 });
 
-test("ends with the deadline", async context => {
+test("ends a request at its deadline", async context => {
     const site = await startSite(context);
     const responding = site.post("/v1/chat/completions", chatBody(3), { "X-Request-Timeout": "300" });
     await site.agent(0).wait("open");
@@ -269,7 +269,7 @@
     assert.equal((await site.agent(0).wait("cancel")).retain, false);
 });
 
-test("ends a stream that cannot go on with an error, not with the end mark", async context => {
+test("ends a stream that cannot be completed with an error and without [DONE]", async context => {
     const site = await startSite(context);
     const responding = site.post("/v1/chat/completions", chatBody(3, true), { "X-Request-Timeout": "300" });
     const open = await site.agent(0).wait("open");
@@ -307,7 +307,7 @@
     const open = await site.agent(0).wait("open");
     const { request, epoch } = open;
     assert.equal(open.credit, 8);
-    // The response is not read, so the sockets' buffers fill up and the head runs out of credit.
+    // The response is not read, so the socket buffers fill up and the head runs out of credit.
     let position = 0;
     let granted = open.credit;
     const text = "x".repeat(20_000);
@@ -330,7 +330,7 @@
     await responding;
     assert.equal(site.entry.openRequests, 1);
     assert.equal(site.agent(0).all("cancel").length, 0);
-    // Nothing is read for the whole time limit: the caller is cut off, and the head is told.
+    // Nothing is read within the stall timeout: the caller is disconnected, and the attempt is cancelled at the head.
     await site.advance(3000);
     await site.agent(0).wait("cancel");
     assert.equal(site.entry.openRequests, 0);
--- a/packages/entry/src/lib/models/RequestRun.ts
+++ b/packages/entry/src/lib/models/RequestRun.ts
@@ -18,12 +18,12 @@
 import { type ModelRequest } from "./ModelRequest.js";
 import { type RequestRunOptions } from "./RequestRunOptions.js";
 
-/** Where an attempt failed, and whether that target still exports its KV cache because it only leaves. */
-type AttemptFault = Partial<Pick<FailedMessage, "target" | "exportable" | "load">>;
+/** The target that failed, and whether it still exports its KV cache because it is only leaving. */
+type AttemptFailure = Partial<Pick<FailedMessage, "target" | "exportable" | "load">>;
 
 /**
- * The life of one model request: attempts with growing epochs until the answer is whole, or until another attempt is
- * not allowed. Each token goes to the caller once, by its position in the answer.
+ * Runs one model request: makes attempts with increasing epochs until the answer is complete or no further attempt is
+ * allowed. Each token is delivered to the caller exactly once, identified by its position in the answer.
  *
  * @internal
  */
@@ -48,27 +48,27 @@
             clock: options.clock,
             maxAttempts: options.limits.maxAttempts,
             binding: options.binding,
-            lostCode: requestCodes.stageLost,
+            mayHaveRunCode: requestCodes.stageLost,
             onRetry: cause => options.metrics.retried(options.request.model, cause.code.number),
         });
     }
 
     /** Begins the first attempt. */
     start(): void {
-        this.watch();
-        void this.next();
+        this.checkTimeouts();
+        void this.startNextAttempt();
     }
 
-    /** The caller has taken what was written; more may be sent. */
+    /** Grants credit again once the caller has read the pending data. */
     resume(): void {
         this.callerReady = true;
         this.grant();
     }
 
-    /** Ends the request because its caller, or this process, no longer waits for the answer. */
+    /** Ends the request because its caller has disconnected or this process stops. */
     cancel(cause: Failure): void {
         this.attempt?.cancel(false);
-        this.settle("cancelled");
+        this.endAttempt("cancelled");
         this.finish(cause);
     }
 
@@ -78,7 +78,7 @@
         }
         switch (message.type) {
             case "tokens":
-                return this.take(message, this.attempt);
+                return this.receiveTokens(message, this.attempt);
             case "done":
                 return this.complete(message, this.attempt);
             case "failed":
@@ -95,13 +95,13 @@
         }
     }
 
-    private async next(): Promise<void> {
+    private async startNextAttempt(): Promise<void> {
         if (this.ended) {
             return;
         }
         const chosen = this.choose();
         if (chosen.isErr) {
-            return this.proceed(chosen.error, this.recovery.afterNoChoice(chosen.error));
+            return this.retryOrFinish(chosen.error, this.recovery.afterNoTarget(chosen.error));
         }
         let routed = chosen.value;
         const connected = await this.connect(routed);
@@ -111,7 +111,7 @@
         if (connected.isErr) {
             routed.end("refused");
             const delay = this.recovery.afterNotSent(connected.error, headOf(routed));
-            return this.proceed(connected.error, delay);
+            return this.retryOrFinish(connected.error, delay);
         }
         const { agent, link, claim } = connected.value;
         if (headOf(routed) !== agent.target) {
@@ -122,22 +122,22 @@
     }
 
     private choose(): Outcome<RoutedAttempt> {
-        const chosen = chooseChain(this.choice(this.recovery.exclude));
+        const chosen = chooseChain(this.createChoice(this.recovery.exclude));
         if (chosen.isOk && chosen.value.request !== this.request) {
             this.request = chosen.value.request;
-            // A KV cache of another version is of no use.
+            // A KV cache cannot be used by another version.
             this.exporters = [];
         }
         return chosen.map(({ routed }) => routed);
     }
 
-    private choice(exclude: ReadonlySet<string>): ChainChoice {
+    private createChoice(exclude: ReadonlySet<string>): ChainChoice {
         const { router, versions, binding } = this.options;
         const { request } = this;
         return { router, versions, request, exclude, head: binding?.target, mayChangeVersion: this.mayChangeVersion() };
     }
 
-    /** The runner of a claim may hold a part of the answer that was not delivered yet. */
+    /** Whether another version may be used. The runner of a claim may hold an undelivered part of the answer. */
     private mayChangeVersion(): boolean {
         return this.produced.length === 0 && (this.options.binding === undefined || !this.recovery.mayHaveRun);
     }
@@ -182,14 +182,14 @@
         }
     }
 
-    /** After a loss the bound counts anew: work that has begun is not refused because its loss took up the time. */
+    /** After a loss the full bound applies again, so that the time taken by the loss does not cause a refusal. */
     private firstTokenBound(): number {
         const { arrived, firstTokenBound } = this.request;
         const left = arrived + firstTokenBound - this.options.clock.now();
         return this.recovery.mayHaveRun ? firstTokenBound : Math.max(0, left);
     }
 
-    private take(message: TokensMessage, attempt: Attempt): void {
+    private receiveTokens(message: TokensMessage, attempt: Attempt): void {
         const skip = this.produced.length - message.position;
         if (skip < 0 || message.ids.length !== message.texts.length) {
             return this.abandon(failure(transportCodes.protocolViolation, "tokens of the answer are missing"));
@@ -224,7 +224,7 @@
         this.grant();
     }
 
-    /** Grants more tokens once half of the window is used up. */
+    /** Grants more credit once half of the window is used up. */
     private grant(): void {
         const { creditWindow } = this.options.limits;
         const upTo = this.produced.length + creditWindow;
@@ -236,19 +236,19 @@
     }
 
     private complete(message: DoneMessage, attempt: Attempt): void {
-        // Tokens that a stop string cut off count as drawn and are not sent.
+        // Tokens that a stop string cut off are counted in `answerTokens` but are not sent.
         const cut = message.finish === "stop" && this.request.sampling.stop.length > 0;
         if (!cut && message.answerTokens > this.produced.length) {
             return this.abandon(
-                failure(transportCodes.protocolViolation, "the end of the answer came before its tokens"),
+                failure(transportCodes.protocolViolation, "the head ended the answer before sending all of its tokens"),
             );
         }
         const answerTokens = this.produced.length;
         const { promptTokens, cachedTokens, finish } = message;
         attempt.cached(message);
-        this.settle("completed");
+        this.endAttempt("completed");
         this.recovery.completed();
-        if (!this.close()) {
+        if (!this.markEnded()) {
             return;
         }
         const { history, metrics, sink, clock, span } = this.options;
@@ -262,28 +262,29 @@
         this.options.onEnd();
     }
 
-    /** Gives up an attempt that still runs, in favour of another. */
+    /** Cancels an attempt that is still running and handles it as failed. */
     private abandon(cause: Failure): void {
         this.attempt?.cancel(true);
         this.attemptFailed(cause, { target: this.attempt?.head });
     }
 
-    private attemptFailed(cause: Failure, { target, exportable = false, load }: AttemptFault): void {
+    private attemptFailed(cause: Failure, { target, exportable = false, load }: AttemptFailure): void {
         const attempt = this.attempt;
         if (attempt === undefined) {
             return;
         }
         const refused = cause.code.execution === "not run";
-        this.settle(refused ? "refused" : "failed", target);
+        this.endAttempt(refused ? "refused" : "failed", target);
         if (!refused) {
             this.exporters = attempt.exporters(exportable ? undefined : target);
         }
-        const unfunded = load?.leaving === true || (this.produced.length > 0 && (refused || !this.recovery.mayHaveRun));
-        this.proceed(cause, this.recovery.afterFailed(cause, target ?? attempt.head, unfunded));
+        const isBudgetExempt = load?.leaving === true
+            || (this.produced.length > 0 && (refused || !this.recovery.mayHaveRun));
+        this.retryOrFinish(cause, this.recovery.afterFailed(cause, target ?? attempt.head, isBudgetExempt));
     }
 
-    /** Begins another attempt after a delay, or ends the request when there is to be none. */
-    private proceed(cause: Failure, delay: number | undefined): void {
+    /** Starts another attempt after a delay, or ends the request if the delay is undefined. */
+    private retryOrFinish(cause: Failure, delay: number | undefined): void {
         if (delay === undefined) {
             return this.finish(cause);
         }
@@ -292,24 +293,24 @@
 
     private schedule(delay: number): void {
         if (delay === 0) {
-            void this.next();
+            void this.startNextAttempt();
             return;
         }
-        this.options.clock.schedule(() => void this.next(), delay);
+        this.options.clock.schedule(() => void this.startNextAttempt(), delay);
     }
 
-    private settle(result: "completed" | "refused" | "failed" | "cancelled", target?: string): void {
+    private endAttempt(result: "completed" | "refused" | "failed" | "cancelled", target?: string): void {
         this.attempt?.end(result, target);
         this.attempt = undefined;
     }
 
-    /** Ends the request without a whole answer. */
+    /** Ends the request without a complete answer. */
     private finish(cause: Failure): void {
-        if (!this.close()) {
+        if (!this.markEnded()) {
             return;
         }
         const { clock, history, metrics, sink, onEnd } = this.options;
-        const final = this.recovery.callersView(cause);
+        const final = this.recovery.toCallerFailure(cause);
         history({
             event: "request.ended",
             request: this.request.id,
@@ -323,36 +324,39 @@
         onEnd();
     }
 
-    private close(): boolean {
+    private markEnded(): boolean {
         const first = !this.ended;
         this.ended = true;
         this.timer?.cancel();
         return first;
     }
 
-    /** Watches the deadline and silent attempts with one timer, which is not moved for each token. */
-    private watch(): void {
+    /** Checks the deadline and the silence timeout with one timer, which is not rescheduled for each token. */
+    private checkTimeouts(): void {
         const now = this.options.clock.now();
         if (now >= this.request.deadline) {
             return this.expire();
         }
-        const silentAt = this.silentAt();
-        if (silentAt !== undefined && now >= silentAt) {
-            this.fellSilent(now);
+        const silenceDeadline = this.silenceDeadline();
+        if (silenceDeadline !== undefined && now >= silenceDeadline) {
+            this.handleSilence(now);
         }
         if (!this.ended) {
-            const due = Math.min(this.request.deadline, this.silentAt() ?? now + this.options.limits.tokenTimeout);
-            this.timer = this.options.clock.schedule(() => this.watch(), Math.max(1, due - now));
+            const due = Math.min(
+                this.request.deadline,
+                this.silenceDeadline() ?? now + this.options.limits.tokenTimeout,
+            );
+            this.timer = this.options.clock.schedule(() => this.checkTimeouts(), Math.max(1, due - now));
         }
     }
 
-    /** Leaves a silent attempt for another one, or waits on: while nothing can take its place, its answer may still come. */
-    private fellSilent(now: number): void {
+    /** Replaces a silent attempt. If there is no alternative, extends its timeout, as it may still answer. */
+    private handleSilence(now: number): void {
         const { attempt } = this;
         if (attempt === undefined) {
             return;
         }
-        const cause = failure(transportCodes.requestTimeout, "the head sent nothing for too long");
+        const cause = failure(transportCodes.requestTimeout, "the head sent no message within the time limit");
         const isFirstLoss = this.produced.length > 0 && !this.recovery.mayHaveRun;
         const delay = this.hasOtherChain(attempt.head)
             ? this.recovery.afterSilence(cause, attempt.head, isFirstLoss)
@@ -362,27 +366,27 @@
             return;
         }
         attempt.cancel(true);
-        this.settle("failed", attempt.head);
+        this.endAttempt("failed", attempt.head);
         this.exporters = attempt.exporters(attempt.head);
         this.schedule(delay);
     }
 
     private hasOtherChain(head: string): boolean {
-        const chosen = chooseChain(this.choice(new Set([...this.recovery.exclude, head])));
+        const chosen = chooseChain(this.createChoice(new Set([...this.recovery.exclude, head])));
         return chosen.map(({ routed }) => routed.end("cancelled")).isOk;
     }
 
-    private silentAt(): number | undefined {
+    private silenceDeadline(): number | undefined {
         if (this.attempt === undefined || !this.callerReady || this.produced.length >= this.granted) {
             return undefined;
         }
-        return this.attempt.silentAt(this.options.limits);
+        return this.attempt.silenceDeadline(this.options.limits);
     }
 
     private expire(): void {
         const sent = this.attempt !== undefined;
         this.attempt?.cancel(false);
-        this.settle("cancelled");
+        this.endAttempt("cancelled");
         const code = sent || this.recovery.mayHaveRun ? requestCodes.deadlineExceeded : requestCodes.deadlinePassed;
         this.finish(failure(code, "the deadline passed"));
     }
--- a/packages/entry/src/lib/models/RequestRunOptions.ts
+++ b/packages/entry/src/lib/models/RequestRunOptions.ts
@@ -10,7 +10,7 @@
 import { type AnswerSink } from "./AnswerSink.js";
 import { type ModelRequest } from "./ModelRequest.js";
 
-/** What the run of one model request is made from. @internal */
+/** Options of a `RequestRun`. @internal */
 export interface RequestRunOptions {
     readonly request: ModelRequest;
     readonly sink: AnswerSink;
@@ -27,6 +27,6 @@
     readonly span: Span;
     /** Set for a request that is not idempotent. */
     readonly binding: ClaimBinding | undefined;
-    /** Runs once, when the request has ended. */
+    /** Called once, when the request has ended. */
     readonly onEnd: () => void;
 }
--- a/packages/entry/src/lib/models/answerSinks.ts
+++ b/packages/entry/src/lib/models/answerSinks.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Sends an answer as server-sent events. The response begins with the first token, so that a refusal still has its
- * HTTP status.
+ * Sends an answer as server-sent events. The response begins only with the first token, so that an
+ * earlier refusal can still be sent with its own HTTP status.
  *
  * @internal
  */
@@ -76,7 +76,7 @@
 }
 
 /**
- * Gathers an answer and sends it as one response.
+ * Collects an answer and sends it as a single response.
  *
  * @internal
  */
--- a/packages/entry/src/lib/models/cacheFeedback.test.ts
+++ b/packages/entry/src/lib/models/cacheFeedback.test.ts
@@ -5,7 +5,7 @@
 import { cachedTextBlocks } from "./cachedTextBlocks.js";
 import { blockCharacters, prefixHashes } from "./prefixHashes.js";
 
-test("the router hears of cached blocks, before the end, and not of an attempt that may have fetched its cache", async context => {
+test("cached blocks are reported to the router, except for an attempt that may have fetched its cache", async context => {
     const site = await new TestSite().start();
     context.after(() => site.entry.stop());
     const prompt = "a".repeat(7 * blockCharacters);
@@ -32,15 +32,15 @@
     assert.equal(site.router.cached.length, 1);
 });
 
-test("the share of cached tokens stands for the share of the text, within a quarter for uneven text", () => {
-    // 1280 characters of 4 to a token are cached, 1280 of 3 to a token are not.
+test("the share of cached tokens estimates the share of the text, within a quarter for uneven text", () => {
+    // 1280 characters at 4 per token are cached, 1280 characters at 3 per token are not.
     const prompt = "a".repeat(10 * blockCharacters);
     const promptTokens = 1280 / 4 + Math.round(1280 / 3);
     const blocks = cachedTextBlocks(prompt, { promptTokens, cachedTokens: 1280 / 4 });
     assert.ok(Math.abs(blocks - 5) <= 0.25 * 5, `${blocks}`);
 });
 
-test("counts that cannot be are bounded by the prompt", () => {
+test("impossible counts are bounded by the prompt", () => {
     const prompt = "a".repeat(100 * blockCharacters);
     const of = (promptTokens: number, cachedTokens: number) => cachedTextBlocks(prompt, { promptTokens, cachedTokens });
     assert.deepEqual([of(0, 5), of(10, 50), of(10, -5)], [0, 100, 0]);
--- a/packages/entry/src/lib/models/cachedTextBlocks.ts
+++ b/packages/entry/src/lib/models/cachedTextBlocks.ts
@@ -1,15 +1,15 @@
 import { blockCharacters } from "./prefixHashes.js";
 
-/** What the end of an answer tells of the prefix cache, in tokens. @internal */
+/** Token counts from the end of an answer, of the whole prompt and of its part found in the prefix cache. @internal */
 export interface CachedCounts {
     readonly promptTokens: number;
     readonly cachedTokens: number;
 }
 
 /**
- * How many leading text blocks of a prompt the engine had cached. The engine counts tokens and the entry text, so the
- * share of the tokens is taken as the share of the text. That is off where the cached part has more or fewer characters
- * for each token than the rest.
+ * Estimates how many leading text blocks of a prompt the engine had cached. The engine counts tokens and the entry
+ * counts characters, so the cached share of the tokens is used as the cached share of the text. The estimate is
+ * inaccurate if the cached part has more or fewer characters per token than the rest.
  *
  * @internal
  */
--- a/packages/entry/src/lib/models/chains.ts
+++ b/packages/entry/src/lib/models/chains.ts
@@ -2,8 +2,8 @@
 import { type AgentAddress } from "../links/AgentLinks.js";
 
 /**
- * The chain for a duplicate whose runner gets no new work from the router. Joining what already runs there is no new
- * work; if nothing runs there, the runner itself refuses the chain and the claim is moved.
+ * The chain for a duplicate whose runner gets no new work from the router. Joining a request that already runs there is
+ * not new work. If nothing runs there, the runner refuses the request and the claim is moved.
  *
  * @internal
  */
@@ -12,7 +12,7 @@
     return { stages, firstToken: () => undefined, token: () => undefined, end: () => undefined };
 }
 
-/** The target of a chain's first stage, or the empty text for an empty chain. @internal */
+/** The target of a chain's first stage, or an empty string for an empty chain. @internal */
 export function headOf(routed: RoutedAttempt): string {
     return routed.stages[0]?.target ?? "";
 }
--- a/packages/entry/src/lib/models/completionsRoute.ts
+++ b/packages/entry/src/lib/models/completionsRoute.ts
@@ -26,7 +26,7 @@
 import { RequestRun } from "./RequestRun.js";
 
 /**
- * What the routes of an entry work with.
+ * Services that the routes of an entry depend on.
  *
  * @internal
  */
@@ -50,8 +50,8 @@
 /**
  * Answers POST /v1/chat/completions and POST /v1/completions.
  *
- * @param open - The request's place among those in progress; it is told how to cut the request off.
- * @returns Resolves once the request has its run, or has been refused.
+ * @param open - The request's entry among the requests in progress; the route sets its abort handler.
+ * @returns Resolves once the run of the request has started, or the request has been refused.
  * @internal
  */
 export async function completionsRoute(
@@ -70,19 +70,19 @@
     if (exchange.disconnected) {
         return;
     }
-    begin(services, exchange, prepared.value, chat, open);
+    startRun(services, exchange, prepared.value, chat, open);
 }
 
-interface Prepared {
+interface PreparedRequest {
     readonly completion: CompletionRequest;
     readonly request: ModelRequest;
     readonly key: string | undefined;
 }
 
-function begin(
+function startRun(
     services: RouteServices,
     exchange: Exchange,
-    { completion, request, key }: Prepared,
+    { completion, request, key }: PreparedRequest,
     chat: boolean,
     open: OpenRequest,
 ): void {
@@ -111,10 +111,10 @@
     const subject = request.claim;
     const binding = subject === undefined ? undefined : new ClaimBinding({ ...services, subject });
     const run = new RequestRun({ ...services, request, sink, binding, span: open.span, onEnd: () => open.answered() });
-    open.onCut(() =>
-        run.cancel(failure(requestCodes.outcomeUnknown, "the process stopped before the answer was whole"))
+    open.onAbort(() =>
+        run.cancel(failure(requestCodes.outcomeUnknown, "the process stopped before the answer was complete"))
     );
-    exchange.onDisconnect(() => run.cancel(failure(requestCodes.cancelled, "the caller went away")));
+    exchange.onDisconnect(() => run.cancel(failure(requestCodes.cancelled, "the caller disconnected")));
     run.start();
 }
 
@@ -139,7 +139,7 @@
     exchange: Exchange,
     caller: Caller,
     completion: CompletionRequest,
-): Outcome<Prepared> {
+): Outcome<PreparedRequest> {
     const model = findModel(configuration, caller, completion.model);
     if (model.isErr) {
         return Result.err(model.error);
@@ -183,7 +183,7 @@
     };
 }
 
-/** Hours for which the claim of a model request is kept. */
+/** Hours for which the claim of a model request is retained. */
 const claimHours = 24;
 const hour = 3_600_000;
 
--- a/packages/entry/src/lib/models/completionsSchema.ts
+++ b/packages/entry/src/lib/models/completionsSchema.ts
@@ -13,7 +13,7 @@
 const maxTokenLimit = 1_000_000;
 const stopSchema = z.string().min(1).max(256);
 
-/** Fields that both routes share. Fields that would change the answer and are not supported are refused. */
+/** Fields common to both routes. Unsupported fields that would change the answer are refused. */
 const commonFields = {
     model: z.string().min(1).max(128),
     stream: z.boolean().nullish(),
@@ -43,16 +43,16 @@
     best_of: z.literal(1, "only one answer for each request is supported").nullish(),
 });
 
-/** Tokens of an answer when the caller sets no limit. */
+/** Maximum tokens of an answer if the caller sets no limit. */
 const defaultMaxTokens = 512;
 
 /**
- * What both routes ask for, in the system's own terms.
+ * A completion request, independent of the route and format in which it arrived.
  *
  * @internal
  */
 export interface CompletionRequest {
-    /** The model as the caller named it: `name` or `name:adapter`. */
+    /** The model as named by the caller: `name` or `name:adapter`. */
     readonly model: string;
     readonly prompt: string;
     readonly stream: boolean;
--- a/packages/entry/src/lib/models/findModel.ts
+++ b/packages/entry/src/lib/models/findModel.ts
@@ -4,7 +4,7 @@
 import { type Caller } from "../callers/Authenticator.js";
 
 /**
- * A model that a caller may use, and the adapter that it asked for.
+ * A model that the caller may use, and the requested adapter.
  *
  * @internal
  */
--- a/packages/entry/src/lib/models/interleavings.test.ts
+++ b/packages/entry/src/lib/models/interleavings.test.ts
@@ -22,8 +22,8 @@
 const maxTokens = 5;
 const whole = Array.from({ length: maxTokens }, (_, position) => ` ${position}`).join("");
 
-/** Several entries and heads, one key, and a history of everything. */
-class World {
+/** A simulation of several entries and heads with one idempotency key, whose events are recorded in one history. */
+class Simulation {
     readonly clock = new ManualClock();
     readonly answers: Answer[] = [];
     readonly heads: readonly HonestHead[];
@@ -32,8 +32,8 @@
     private readonly claims = new FakeClaims();
     private readonly configuration = new StaticConfiguration();
     private restarts = 0;
-    /** What heads wrote down when they left, by incarnation. */
-    private readonly left = new Map<string, (claim: string) => FinalOutcome>();
+    /** The final outcomes that heads stored when they left, by incarnation. */
+    private readonly finalOutcomes = new Map<string, (claim: string) => FinalOutcome>();
 
     constructor() {
         this.heads = [1, 2, 3].map(index => {
@@ -46,7 +46,7 @@
         this.configuration.set(this.heads.map(({ agent }) => targetResource(agent)));
     }
 
-    /** Sends a request to an entry of its own. */
+    /** Sends a request to a new entry. */
     send(entry: string, claimed: boolean): void {
         const id = `request-${this.answers.length}`;
         const history = (event: HistoryEvent) => this.record(entry, entry, event);
@@ -56,9 +56,9 @@
         const request = toRequest(id, this.clock.now(), claimed);
         const subject = request.claim;
         const { clock, claims, configuration } = this;
-        const findLeft = ({ id, runner }: Claim): Promise<FinalOutcome> =>
-            Promise.resolve(this.left.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
-        const bindingOptions = { claims, links, configuration, findLeft };
+        const findFinalOutcome = ({ id, runner }: Claim): Promise<FinalOutcome> =>
+            Promise.resolve(this.finalOutcomes.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
+        const bindingOptions = { claims, links, configuration, findLeft: findFinalOutcome };
         const answer = new Answer();
         history({
             event: "request.received",
@@ -93,13 +93,13 @@
         head.restart(`again-${this.restarts++}`);
     }
 
-    /** Leaves gracefully: writes down what became of its claims once it takes nothing more, and starts again. */
+    /** Lets a head leave gracefully: stores the final outcomes of its claims and restarts it. */
     leave(head: HonestHead): void {
-        this.left.set(head.agent.incarnation, head.claimsLeft());
+        this.finalOutcomes.set(head.agent.incarnation, head.claimsLeft());
         this.restart(head);
     }
 
-    /** Lets everything come to its end. */
+    /** Runs the simulation until every request has ended. */
     async finish(): Promise<void> {
         for (let step = 0; step < 60 && this.answers.some(answer => answer.ends === 0); step++) {
             this.heads.forEach(head => head.step());
@@ -130,7 +130,7 @@
     }
 }
 
-/** What one caller saw. */
+/** The answer that one caller received. */
 class Answer {
     run: RequestRun | undefined;
     text = "";
@@ -174,61 +174,63 @@
     };
 }
 
-type Action = (world: World, head: HonestHead) => void;
+type Action = (simulation: Simulation, head: HonestHead) => void;
 
 const actions: Record<string, Action> = {
     step: (_, head) => head.step(),
-    stepAll: world => world.heads.forEach(head => head.step()),
+    stepAll: simulation => simulation.heads.forEach(head => head.step()),
     repeat: (_, head) => head.repeat(),
     skip: (_, head) => head.skip(),
     refuse: (_, head) => head.refuse(requestCodes.overloaded),
     refuseFinally: (_, head) => head.refuse(requestCodes.limitReached),
     fail: (_, head) => head.fail(),
     cut: (_, head) => head.agent.cut(),
-    restart: (world, head) => world.restart(head),
-    leave: (world, head) => world.leave(head),
-    pause: world => world.clock.advance(3000),
-    slowCaller: world =>
-        world.answers.forEach(answer => {
+    restart: (simulation, head) => simulation.restart(head),
+    leave: (simulation, head) => simulation.leave(head),
+    pause: simulation => simulation.clock.advance(3000),
+    slowCaller: simulation =>
+        simulation.answers.forEach(answer => {
             answer.ready = false;
         }),
-    callerReads: world =>
-        world.answers.forEach(answer => {
+    callerReads: simulation =>
+        simulation.answers.forEach(answer => {
             answer.ready = true;
             answer.run?.resume();
         }),
-    callerLeaves: world => world.answers[0]?.run?.cancel(failure(requestCodes.cancelled, "the caller went away")),
-    duplicate: world => world.answers.length < 4 ? world.send(`entry-${world.answers.length}`, true) : undefined,
+    callerLeaves: simulation =>
+        simulation.answers[0]?.run?.cancel(failure(requestCodes.cancelled, "the caller went away")),
+    duplicate: simulation =>
+        simulation.answers.length < 4 ? simulation.send(`entry-${simulation.answers.length}`, true) : undefined,
 };
 
-async function runWorld(claimed: boolean, script: readonly (readonly [string, number])[]): Promise<void> {
-    const world = new World();
-    world.send("entry-0", claimed);
+async function runSimulation(claimed: boolean, script: readonly (readonly [string, number])[]): Promise<void> {
+    const simulation = new Simulation();
+    simulation.send("entry-0", claimed);
     for (const [name, index] of script) {
-        const head = world.heads[index];
+        const head = simulation.heads[index];
         if (head !== undefined && (claimed || name !== "duplicate")) {
-            actions[name]?.(world, head);
+            actions[name]?.(simulation, head);
         }
         await new Promise(resolve => setImmediate(resolve));
     }
-    actions["callerReads"]?.(world, world.heads[0] as HonestHead);
-    await world.finish();
-    for (const answer of world.answers) {
+    actions["callerReads"]?.(simulation, simulation.heads[0] as HonestHead);
+    await simulation.finish();
+    for (const answer of simulation.answers) {
         assert.equal(answer.ends, 1);
         assert.equal(whole.startsWith(answer.text), true, answer.text);
         assert.equal(answer.failure !== undefined || answer.text === whole, true);
     }
-    assert.deepEqual(world.violations(), []);
+    assert.deepEqual(simulation.violations(), []);
 }
 
 const script = fc.array(fc.tuple(fc.constantFrom(...Object.keys(actions)), fc.nat(2)), { maxLength: 25 });
 
 test("any interleaving keeps an idempotent answer whole", async () => {
-    await fc.assert(fc.asyncProperty(script, steps => runWorld(false, steps)), { numRuns: 1000 });
+    await fc.assert(fc.asyncProperty(script, steps => runSimulation(false, steps)), { numRuns: 1000 });
 });
 
 test("any interleaving runs a claimed request at most once", async () => {
-    await fc.assert(fc.asyncProperty(script, steps => runWorld(true, steps)), {
+    await fc.assert(fc.asyncProperty(script, steps => runSimulation(true, steps)), {
         numRuns: 1000,
         examples: [[[["step", 0], ["step", 0], ["duplicate", 0], ["refuseFinally", 0]]]],
     });
--- a/packages/entry/src/lib/models/prefixHashes.ts
+++ b/packages/entry/src/lib/models/prefixHashes.ts
@@ -2,14 +2,14 @@
 
 const hasher = await xxhash();
 
-/** Characters of one block, about 64 tokens. @internal */
+/** Characters in one block, about 64 tokens. @internal */
 export const blockCharacters = 256;
-/** Blocks that are hashed; a longer prefix is told apart no further. */
+/** Maximum number of blocks that are hashed; text beyond them is not distinguished. */
 const maxBlocks = 64;
 
 /**
- * Hashes the whole blocks of a prompt. Each hash covers the model (with version and adapter) and everything up to the
- * end of its block, so two prompts share a hash only where a KV cache could be shared.
+ * Hashes the complete blocks of a prompt. Each hash covers the model (with version and adapter) and everything up to
+ * the end of its block, so two prompts share a hash only where a KV cache could be shared.
  *
  * @param identity - Model, version and adapter.
  * @internal
--- a/packages/entry/src/lib/models/renderPrompt.ts
+++ b/packages/entry/src/lib/models/renderPrompt.ts
@@ -11,8 +11,8 @@
 const marker = /<\|/g;
 
 /**
- * Renders a chat as the prompt of a model: each message behind a marker of its role, and the assistant's marker last.
- * A marker inside a message is broken up, so that no message can speak for another role.
+ * Renders a chat as the prompt of a model: each message follows the marker of its role, and the prompt ends with the
+ * assistant's marker. Markers inside a message are broken up, so that no message can impersonate another role.
  *
  * @internal
  */
--- a/packages/entry/src/lib/recovery/Recovery.test.ts
+++ b/packages/entry/src/lib/recovery/Recovery.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { Recovery } from "./Recovery.js";
 
-test("a retry after a refusal as not run is paid as one, and after a failure as one", () => {
+test("a retry is charged to the budget as refused or failed, according to its cause", () => {
     const spent: (string | undefined)[] = [];
     const recovery = new Recovery({
         retryBudget: {
@@ -15,7 +15,7 @@
         clock: new ManualClock(),
         maxAttempts: 8,
         binding: undefined,
-        lostCode: requestCodes.outcomeUnknown,
+        mayHaveRunCode: requestCodes.outcomeUnknown,
         onRetry: () => undefined,
     });
     recovery.afterFailed(failure(requestCodes.overloaded, "full"), "target-1", false);
--- a/packages/entry/src/lib/recovery/Recovery.ts
+++ b/packages/entry/src/lib/recovery/Recovery.ts
@@ -1,7 +1,7 @@
 import { type RetryBudget } from "@waxwingspar/policy";
 import { type Clock, type Failure, requestCodes } from "@waxwingspar/utils";
 import { type ClaimBinding } from "../links/ClaimBinding.js";
-import { forCaller, mayGoElsewhere } from "./failures.js";
+import { forCaller, mayRetryElsewhere } from "./failures.js";
 
 /** @internal */
 export interface RecoveryOptions {
@@ -10,45 +10,45 @@
     readonly maxAttempts: number;
     /** Set for a request that is not idempotent. */
     readonly binding: ClaimBinding | undefined;
-    /** The code by which a caller is told that an idempotent request may have run. */
-    readonly lostCode: Failure["code"];
-    /** Runs for each further attempt. */
+    /** The result code for an idempotent request that may have run. */
+    readonly mayHaveRunCode: Failure["code"];
+    /** Called for each further attempt. */
     readonly onRetry: (cause: Failure) => void;
 }
 
 /**
- * Decides, after an attempt of one request has ended without a whole answer, whether and when another may begin, and
- * what the caller is told at the end.
+ * Decides whether and when another attempt of a request may begin after one has ended without a complete answer, and
+ * which failure is finally returned to the caller.
  *
  * @internal
  */
 export class Recovery {
-    /** Targets that failed this request. */
+    /** Targets that failed this request and are excluded from the choice. */
     readonly exclude = new Set<string>();
     private readonly options: RecoveryOptions;
     private retries = 0;
-    /** The last failure that left open whether the request ran. */
+    /** The last failure after which the request may have run. */
     private lost: Failure | undefined;
-    private lostTime: number | undefined;
+    private firstLossAt: number | undefined;
 
     constructor(options: RecoveryOptions) {
         this.options = options;
         options.retryBudget.request();
     }
 
-    /** True once an attempt has ended that may have run. */
+    /** True once an attempt that may have run has failed. */
     get mayHaveRun(): boolean {
         return this.lost !== undefined;
     }
 
-    /** The clock's time of the first loss since the last progress. */
+    /** The clock's time of the first lost attempt since the last progress. */
     get lostAt(): number | undefined {
-        return this.lostTime;
+        return this.firstLossAt;
     }
 
-    /** The answer goes on. */
+    /** Records that the answer has continued after a loss. */
     progressed(): void {
-        this.lostTime = undefined;
+        this.firstLossAt = undefined;
     }
 
     completed(): void {
@@ -56,92 +56,95 @@
     }
 
     /**
-     * An attempt that had been sent failed.
+     * Handles the failure of an attempt that had been sent.
      *
-     * @param target - The target at fault.
-     * @param unfunded - True when the next attempt takes nothing from the budget: the first after the loss of an answer
-     * that had begun, one after a refusal to go on with such an answer, and one that a leaving target asks for. None of
-     * these repeats work in an overload.
-     * @returns Milliseconds until the next attempt, or undefined when the failure is final.
+     * @param target - The target that failed.
+     * @param isBudgetExempt - True if the next attempt is not charged to the retry budget: the first one after losing an
+     * answer that had begun, one after a refusal to continue such an answer, and one requested by a leaving target.
+     * None of these repeats work during an overload.
+     * @returns Milliseconds until the next attempt, or undefined if the failure is final.
      */
-    afterFailed(cause: Failure, target: string, unfunded: boolean): number | undefined {
+    afterFailed(cause: Failure, target: string, isBudgetExempt: boolean): number | undefined {
         this.options.retryBudget.ended(false);
         if (cause.code.execution !== "not run") {
             this.lost = cause;
-            this.lostTime ??= this.options.clock.now();
+            this.firstLossAt ??= this.options.clock.now();
         }
         else if (this.options.binding !== undefined && this.lost !== undefined) {
-            // An earlier attempt may have run. This refusal is about going on, so the claim stays with its runner.
-            return this.again(cause);
+            // An earlier attempt may have run. Only its continuation was refused, so the claim stays with its runner.
+            return this.nextRetryDelay(cause);
         }
         else if (this.options.binding?.release() === true) {
-            return this.again(cause);
+            return this.nextRetryDelay(cause);
         }
-        return this.retry(cause, target, unfunded);
+        return this.retryElsewhere(cause, target, isBudgetExempt);
     }
 
     /**
-     * An attempt has been silent for too long. It goes on unless another one may follow, since its answer may still come.
+     * Handles an attempt that sent nothing within its time limit. It is kept unless another attempt may follow, since
+     * it may still answer.
      *
-     * @returns As {@link Recovery.afterFailed}; undefined when the attempt is to go on.
+     * @returns As for {@link Recovery.afterFailed}; undefined if the attempt is kept.
      */
-    afterSilence(cause: Failure, target: string, unfunded: boolean): number | undefined {
+    afterSilence(cause: Failure, target: string, isBudgetExempt: boolean): number | undefined {
         if (this.retries + 1 >= this.options.maxAttempts) {
             return undefined;
         }
-        const delay = this.retry(cause, target, unfunded);
+        const delay = this.retryElsewhere(cause, target, isBudgetExempt);
         if (delay !== undefined) {
             this.options.retryBudget.ended(false);
             this.lost = cause;
-            this.lostTime ??= this.options.clock.now();
+            this.firstLossAt ??= this.options.clock.now();
         }
         return delay;
     }
 
-    /** Nothing was sent, as no link to the target could be opened or the claim binds the request to another. */
+    /** Handles an attempt that was not sent, as no link could be opened or the claim binds it to another target. */
     afterNotSent(cause: Failure, target: string): number | undefined {
-        const delay = this.options.binding?.target === undefined ? this.retry(cause, target, false) : undefined;
-        // Nobody has done any work yet, so there is nothing to hold back from.
+        const delay = this.options.binding?.target === undefined
+            ? this.retryElsewhere(cause, target, false)
+            : undefined;
+        // Nothing was sent to any target, so there is no need for back-off.
         return delay === undefined ? undefined : 0;
     }
 
-    /** No target was found. A request that may have run waits for one; any other is refused at once. */
-    afterNoChoice(cause: Failure): number | undefined {
+    /** Handles the lack of a target. A request that may have run is retried later; any other is refused immediately. */
+    afterNoTarget(cause: Failure): number | undefined {
         if (this.lost === undefined) {
             return undefined;
         }
-        // The targets that failed may be all there are; they may have come back by now.
+        // There may be no targets besides the failed ones, and these may have recovered by now.
         this.exclude.clear();
-        return this.again(cause);
+        return this.nextRetryDelay(cause);
     }
 
-    /** The failure as the caller is told it. A request that may have run is never reported as not run. */
-    callersView(cause: Failure): Failure {
-        const { binding, lostCode } = this.options;
+    /** The failure as returned to the caller. A request that may have run is never reported as not run. */
+    toCallerFailure(cause: Failure): Failure {
+        const { binding, mayHaveRunCode } = this.options;
         const notRun = cause.code.execution === "not run";
         if (binding === undefined) {
-            return forCaller(notRun ? this.lost ?? cause : cause, lostCode);
+            return forCaller(notRun ? this.lost ?? cause : cause, mayHaveRunCode);
         }
-        if (notRun && this.lost === undefined && !binding.found) {
+        if (notRun && this.lost === undefined && !binding.isEarlierClaim) {
             return forCaller(cause, requestCodes.outcomeUnknown);
         }
         return { ...cause, code: unknownCode(cause), retryAfter: undefined };
     }
 
-    private retry(cause: Failure, target: string, unfunded: boolean): number | undefined {
+    private retryElsewhere(cause: Failure, target: string, isBudgetExempt: boolean): number | undefined {
         const { binding, retryBudget } = this.options;
         const runnerFailed = binding?.target !== undefined && binding.target === target;
-        if (runnerFailed || !mayGoElsewhere(cause)) {
+        if (runnerFailed || !mayRetryElsewhere(cause)) {
             return undefined;
         }
-        if (!unfunded && !retryBudget.spend(cause.code.execution === "not run" ? "refused" : "failed")) {
+        if (!isBudgetExempt && !retryBudget.spend(cause.code.execution === "not run" ? "refused" : "failed")) {
             return undefined;
         }
         this.exclude.add(target);
-        return this.again(cause);
+        return this.nextRetryDelay(cause);
     }
 
-    private again(cause: Failure): number | undefined {
+    private nextRetryDelay(cause: Failure): number | undefined {
         if (this.retries + 1 >= this.options.maxAttempts) {
             return undefined;
         }
@@ -151,7 +154,7 @@
     }
 }
 
-/** What the caller of a request that is not idempotent is told when it may have run. */
+/** The result code for a request that is not idempotent and may have run. */
 function unknownCode(cause: Failure): Failure["code"] {
     const { cancelled, deadlineExceeded, inProgress } = requestCodes;
     const kept: readonly Failure["code"][] = [cancelled, deadlineExceeded, inProgress];
--- a/packages/entry/src/lib/recovery/failures.ts
+++ b/packages/entry/src/lib/recovery/failures.ts
@@ -1,8 +1,8 @@
 import { type WireFailure } from "@waxwingspar/transport";
 import { type Failure, failure, findResultCode, requestCodes, transportCodes } from "@waxwingspar/utils";
 
-/** Codes after which another target may do better. All others are the same everywhere, or final by their meaning. */
-const elsewhere: ReadonlySet<number> = new Set([
+/** Result codes after which another target may succeed; any other fails alike on all targets, or is final. */
+const retryElsewhereCodes: ReadonlySet<number> = new Set([
     requestCodes.overloaded.number,
     requestCodes.noCapacity.number,
     requestCodes.stopping.number,
@@ -16,19 +16,23 @@
     transportCodes.protocolViolation.number,
 ]);
 
-/** Whether a further attempt on another target makes sense after this failure. @internal */
-export function mayGoElsewhere(cause: Failure): boolean {
-    return elsewhere.has(cause.code.number);
+/** Whether another attempt on a different target may succeed after this failure. @internal */
+export function mayRetryElsewhere(cause: Failure): boolean {
+    return retryElsewhereCodes.has(cause.code.number);
 }
 
-/** Reads a failure that an agent sent. A number that this version does not know says nothing about execution. @internal */
+/**
+ * Converts a failure sent by an agent. An unknown code tells nothing about execution, so it becomes `outcomeUnknown`.
+ *
+ * @internal
+ */
 export function fromWire(wire: WireFailure): Failure {
     const code = findResultCode(wire.code) ?? requestCodes.outcomeUnknown;
     return failure(code, wire.message, { retryAfter: wire.retryAfter });
 }
 
 /**
- * The failure as a caller sees it: codes between the system's own processes are put into callers' terms.
+ * Converts a failure for the caller: codes that are internal to the system are replaced by codes for callers.
  *
  * @param lost - The code for a request that may have run.
  * @internal
--- a/packages/entry/src/lib/services/ReplyCredit.ts
+++ b/packages/entry/src/lib/services/ReplyCredit.ts
@@ -1,21 +1,21 @@
 /** @internal */
 export interface ReplyCreditOptions {
-    /** Bytes that the agent may send before the caller has taken those before. */
+    /** Window in bytes: how far the agent may send ahead of what the caller has read. */
     readonly window: number;
-    /** Bytes that wait for the caller now. */
+    /** Returns the bytes that are pending for the caller. */
     readonly waiting: () => number;
-    /** Allows the agent to send the body up to a byte (excluded). */
+    /** Allows the agent to send the body up to a byte offset (exclusive). */
     readonly grant: (upTo: number) => void;
 }
 
 /**
- * What an agent may send of one answer: a window beyond what the caller has taken. A grant goes out when half of the
- * window is free again, so that a fast caller's agent does not have to wait for it.
+ * Flow control for one answer: an agent may send up to a window ahead of what the caller has read. More credit is
+ * granted once half of the window is free, so that the agent of a fast caller does not have to wait for it.
  *
  * @internal
  */
 export class ReplyCredit {
-    /** True once the agent has said that it keeps to the credit. */
+    /** True once the agent has confirmed that it observes the credit. */
     active = false;
     private received = 0;
     private upTo: number;
@@ -24,13 +24,13 @@
         this.upTo = options.window;
     }
 
-    /** Takes note of bytes that have been passed on to the caller's connection. */
-    passedOn(bytes: number): void {
+    /** Records bytes that have been written to the caller's connection. */
+    addForwarded(bytes: number): void {
         this.received += bytes;
         this.update();
     }
 
-    /** Grants more if the caller has taken enough. */
+    /** Grants more credit if the caller has read enough. */
     update(): void {
         const { window, waiting, grant } = this.options;
         const taken = Math.max(0, this.received - waiting());
--- a/packages/entry/src/lib/services/ServiceCall.test.ts
+++ b/packages/entry/src/lib/services/ServiceCall.test.ts
@@ -28,7 +28,7 @@
     return (await response.json() as ErrorBody).error;
 }
 
-test("passes a call and its answer on", async context => {
+test("forwards a call and its answer", async context => {
     const site = await startSite(context);
     const responding = site.fetch("/services/records/parts?kind=mast", {
         headers: { "X-Part": "7", Connection: "x-part" },
@@ -47,7 +47,7 @@
     assert.equal(response.headers.get("content-type"), "text/plain");
 });
 
-test("several headers of one name stay apart", async context => {
+test("repeated headers of one name stay separate", async context => {
     const site = await startSite(context);
     const responding = site.fetch("/services/records/parts");
     const { request } = await site.agent(0).wait("call");
@@ -180,7 +180,7 @@
     assert.equal(site.agents.every(agent => agent.received.length === 0), true);
 });
 
-test("a refusal promised to an earlier duplicate does not bind a later one", async context => {
+test("a refusal of an earlier duplicate does not apply to a later one", async context => {
     const site = await startSite(context);
     const first = site.post(orders, { part: 7 }, keyed);
     refuse(site.agent(0), await site.agent(0).wait("call"), requestCodes.limitReached);
@@ -194,7 +194,7 @@
     assert.equal(await (await second).text(), "run 1");
 });
 
-test("a caller that takes nothing of a large answer does not hold memory", async context => {
+test("a caller that reads nothing of a large answer is disconnected to free its memory", async context => {
     const site = await startSite(context, { limits: { maxReplyBuffer: 4_000_000 } });
     const responding = site.fetch("/services/records/samples");
     const { request } = await site.agent(0).wait("call");
@@ -209,7 +209,7 @@
     await assert.rejects(response.arrayBuffer());
 });
 
-test("tells the target when the caller goes away", async context => {
+test("cancels the call at the target when the caller disconnects", async context => {
     const site = await startSite(context);
     const caller = new AbortController();
     const responding = site.fetch("/services/records/parts", { signal: caller.signal }).catch(() => "aborted");
--- a/packages/entry/src/lib/services/ServiceCall.ts
+++ b/packages/entry/src/lib/services/ServiceCall.ts
@@ -44,19 +44,19 @@
 }
 
 /**
- * Where the answer of a call goes.
+ * The destination of a call's answer.
  *
  * @internal
  */
 export interface ReplySink {
-    /** Bytes that wait for the caller. */
+    /** Bytes that are pending for the caller. */
     readonly waiting: number;
-    /** Sets what runs when the caller has taken what waited. */
-    onTaken(handler: () => void): void;
+    /** Sets the function to call when the pending bytes have been written out. */
+    onDrain(handler: () => void): void;
     head(status: number, headers: ReplyHeaders): void;
     body(data: Uint8Array): void;
     end(): void;
-    /** The call ended without a whole answer. */
+    /** Ends a call that has no complete answer. */
     fail(failure: Failure): void;
 }
 
@@ -76,7 +76,7 @@
     readonly span: Span;
     /** Set for a call that is not idempotent. */
     readonly binding: ClaimBinding | undefined;
-    /** Runs once, when the call has ended. */
+    /** Called once, when the call has ended. */
     readonly onEnd: () => void;
 }
 
@@ -84,7 +84,7 @@
 interface CallAttempt {
     readonly target: string;
     readonly link: AgentLink;
-    /** Absent when the claim of an earlier duplicate decided the target. */
+    /** Undefined if the claim of an earlier duplicate determined the target. */
     readonly routed: RoutedAttempt | undefined;
     readonly sentAt: number;
     readonly span: Span;
@@ -92,8 +92,8 @@
 }
 
 /**
- * The life of one plain call: attempts until one answers, or until another attempt is not allowed. Once the answer has
- * begun there is no other attempt.
+ * Runs one plain call: makes attempts until one answers or no further attempt is allowed. Once an answer has begun,
+ * there are no further attempts.
  *
  * @internal
  */
@@ -110,13 +110,13 @@
     constructor(options: ServiceCallOptions) {
         this.options = options;
         this.request = options.request;
-        options.sink.onTaken(() => this.attempt?.credit.update());
+        options.sink.onDrain(() => this.attempt?.credit.update());
         this.recovery = new Recovery({
             retryBudget: options.retryBudget,
             clock: options.clock,
             maxAttempts: options.limits.maxAttempts,
             binding: options.binding,
-            lostCode: requestCodes.outcomeUnknown,
+            mayHaveRunCode: requestCodes.outcomeUnknown,
             onRetry: cause => options.metrics.retried(options.request.service, cause.code.number),
         });
     }
@@ -125,13 +125,13 @@
     start(): void {
         const { clock } = this.options;
         this.timer = clock.schedule(() => this.expire(), Math.max(0, this.request.deadline - clock.now()));
-        void this.next();
+        void this.startNextAttempt();
     }
 
-    /** Ends the call because its caller, or this process, no longer waits for the answer. */
+    /** Ends the call because its caller has disconnected, its deadline has passed or this process stops. */
     cancel(cause: Failure): void {
         this.attempt?.link.send({ type: "callCancel", request: this.request.id });
-        this.settle("cancelled");
+        this.endAttempt("cancelled");
         this.finish(cause);
     }
 
@@ -145,7 +145,7 @@
                 this.attempt.credit.active = message.credited === true;
                 return this.options.sink.head(message.status, message.headers);
             case "replyBody":
-                return this.passOn(this.attempt, message.data, message.last);
+                return this.forwardBody(this.attempt, message.data, message.last);
             case "callFailed":
                 return this.attemptFailed(fromWire(message.failure));
             default:
@@ -157,28 +157,28 @@
         this.attemptFailed(failure(transportCodes.connectionLost, "the link to the target was lost"));
     }
 
-    private passOn(attempt: CallAttempt, data: Uint8Array, last: boolean): void {
+    private forwardBody(attempt: CallAttempt, data: Uint8Array, last: boolean): void {
         this.options.sink.body(data);
         if (last) {
             this.complete(attempt);
             return;
         }
-        attempt.credit.passedOn(data.length);
+        attempt.credit.addForwarded(data.length);
     }
 
-    private async next(): Promise<void> {
+    private async startNextAttempt(): Promise<void> {
         if (this.ended) {
             return;
         }
         const { router } = this.options;
         const chosen = router.chooseService(this.request.service, this.recovery.exclude);
         if (chosen.isErr) {
-            return this.proceed(chosen.error, this.recovery.afterNoChoice(chosen.error));
+            return this.retryOrFinish(chosen.error, this.recovery.afterNoTarget(chosen.error));
         }
         const routed = chosen.value;
         const stage = routed.stages[0];
         if (stage === undefined) {
-            return this.finish(failure(requestCodes.noCapacity, "no target serves this"));
+            return this.finish(failure(requestCodes.noCapacity, "no target serves this service"));
         }
         const connected = await this.connect(stage);
         if (this.ended) {
@@ -188,9 +188,9 @@
             routed.end("refused");
             const { binding } = this.options;
             if (binding?.leftReply !== undefined) {
-                return this.repeat(binding.leftReply);
+                return this.sendStoredReply(binding.leftReply);
             }
-            return this.proceed(connected.error, this.recovery.afterNotSent(connected.error, stage.target));
+            return this.retryOrFinish(connected.error, this.recovery.afterNotSent(connected.error, stage.target));
         }
         const { target, link, claim } = connected.value;
         if (target !== stage.target) {
@@ -256,8 +256,8 @@
         });
     }
 
-    /** Answers a duplicate with what the runner of its claim left behind. Nothing runs. */
-    private repeat({ status, headers, body }: StoredReply): void {
+    /** Answers a duplicate with the reply that the runner of its claim has stored. Nothing runs. */
+    private sendStoredReply({ status, headers, body }: StoredReply): void {
         this.options.sink.head(status, headers);
         this.options.sink.body(Buffer.from(body, "base64"));
         this.answered();
@@ -265,14 +265,14 @@
 
     private complete(attempt: CallAttempt): void {
         attempt.routed?.firstToken(this.options.clock.now() - attempt.sentAt);
-        this.settle("completed");
+        this.endAttempt("completed");
         this.recovery.completed();
         this.answered();
     }
 
     private answered(): void {
         const { clock, history, metrics, sink, onEnd } = this.options;
-        this.close();
+        this.markEnded();
         history({ event: "request.ended", request: this.request.id, outcome: "completed" });
         metrics.requestEnded(this.request.service, 0, clock.now() - this.request.arrived, 0);
         sink.end();
@@ -284,24 +284,24 @@
         if (attempt === undefined) {
             return;
         }
-        this.settle(cause.code.execution === "not run" ? "refused" : "failed", attempt.target);
+        this.endAttempt(cause.code.execution === "not run" ? "refused" : "failed", attempt.target);
         const delay = this.recovery.afterFailed(cause, attempt.target, false);
-        this.proceed(cause, this.begun ? undefined : delay);
+        this.retryOrFinish(cause, this.begun ? undefined : delay);
     }
 
-    /** Begins another attempt after a delay, or ends the call when there is to be none. */
-    private proceed(cause: Failure, delay: number | undefined): void {
+    /** Starts another attempt after a delay, or ends the call if the delay is undefined. */
+    private retryOrFinish(cause: Failure, delay: number | undefined): void {
         if (delay === undefined) {
             return this.finish(cause);
         }
         if (delay === 0) {
-            void this.next();
+            void this.startNextAttempt();
             return;
         }
-        this.options.clock.schedule(() => void this.next(), delay);
+        this.options.clock.schedule(() => void this.startNextAttempt(), delay);
     }
 
-    private settle(result: AttemptEnd, target?: string): void {
+    private endAttempt(result: AttemptEnd, target?: string): void {
         const { attempt } = this;
         this.attempt = undefined;
         attempt?.link.detach(this.request.id);
@@ -310,14 +310,14 @@
         attempt?.span.end();
     }
 
-    /** Ends the call without a whole answer. */
+    /** Ends the call without a complete answer. */
     private finish(cause: Failure): void {
         if (this.ended) {
             return;
         }
-        this.close();
+        this.markEnded();
         const { clock, history, metrics, sink, onEnd } = this.options;
-        const final = this.recovery.callersView(cause);
+        const final = this.recovery.toCallerFailure(cause);
         const { execution, number } = final.code;
         history({ event: "request.ended", request: this.request.id, outcome: execution, code: number });
         metrics.requestEnded(this.request.service, number, clock.now() - this.request.arrived, 0);
@@ -325,7 +325,7 @@
         onEnd();
     }
 
-    private close(): void {
+    private markEnded(): void {
         this.ended = true;
         this.timer?.cancel();
     }
--- a/packages/entry/src/lib/services/replyCredit.test.ts
+++ b/packages/entry/src/lib/services/replyCredit.test.ts
@@ -12,7 +12,7 @@
     return site;
 }
 
-/** Answers each call as fast as its credit allows. */
+/** Answers a call as fast as its credit allows. */
 class CreditedAnswer {
     sent = 0;
 
@@ -38,8 +38,8 @@
     }
 }
 
-test("a slow caller gets the whole of a large answer, of which little waits", async context => {
-    // Beyond this limit a caller is cut off, so that the whole answer proves that never more has waited.
+test("a slow caller gets a complete large answer, of which little is buffered", async context => {
+    // A caller is disconnected beyond this limit, so a complete answer proves that it was never exceeded.
     const site = await startSite(context, { replyWindow: window, maxReplyBuffer: window + 16_384 });
     const answer = new CreditedAnswer(site.agent(0), size);
     const response = await site.fetch("/services/records/samples");
@@ -53,14 +53,14 @@
     assert.ok(grants.every((upTo, index) => upTo - (grants[index - 1] ?? window) >= window / 2));
 });
 
-test("a window smaller than what the connection takes at once does not hold an answer up", async context => {
+test("a window smaller than the socket buffer does not stall an answer", async context => {
     const site = await startSite(context, { replyWindow: 1000 });
     const answer = new CreditedAnswer(site.agent(0), 100_000);
     const response = await site.fetch("/services/records/samples");
     assert.deepEqual([(await response.arrayBuffer()).byteLength, answer.sent], [100_000, 100_000]);
 });
 
-test("grants nothing to a caller that takes nothing, and cuts it off", async context => {
+test("grants nothing to a caller that reads nothing, and disconnects it", async context => {
     const site = await startSite(context, { replyWindow: window });
     const answer = new CreditedAnswer(site.agent(0), size);
     const response = await site.fetch("/services/records/samples");
@@ -74,7 +74,7 @@
     await assert.rejects(response.arrayBuffer());
 });
 
-test("sends no grants to an agent that knows none", async context => {
+test("sends no grants to an agent that does not support credit", async context => {
     const site = await startSite(context, { replyWindow: 1000 });
     const responding = site.fetch("/services/records/samples");
     const { request, credit } = await site.agent(0).wait("call");
--- a/packages/entry/src/lib/services/serviceHeaders.ts
+++ b/packages/entry/src/lib/services/serviceHeaders.ts
@@ -1,8 +1,8 @@
 import { type ReplyHeaders } from "@waxwingspar/transport";
 import { type IncomingHttpHeaders } from "node:http";
 
-/** Headers that belong to one connection, or to this system alone. */
-const ownHeaders: ReadonlySet<string> = new Set([
+/** Headers that are not forwarded, as they concern a single connection or only this system. */
+const unforwardedHeaders: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -20,28 +20,28 @@
     "x-http-method-override",
 ]);
 
-/** The headers of a call that its service gets to see. @internal */
+/** The headers of a call that are forwarded to its service. @internal */
 export function forwardedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
     const named = connectionHeaders(headers.connection);
     const forwarded: Record<string, string> = {};
     for (const [name, value] of Object.entries(headers)) {
-        if (value !== undefined && !ownHeaders.has(name) && !named.has(name)) {
+        if (value !== undefined && !unforwardedHeaders.has(name) && !named.has(name)) {
             forwarded[name] = Array.isArray(value) ? value.join(", ") : value;
         }
     }
     return forwarded;
 }
 
-/** The headers of a service's answer that its caller gets to see. @internal */
+/** The headers of a service's answer that are returned to the caller. @internal */
 export function returnedHeaders(headers: Readonly<ReplyHeaders>): ReplyHeaders {
     const entries = Object.entries(headers).filter(([name]) => {
         const lower = name.toLowerCase();
-        return lower === "content-length" || !ownHeaders.has(lower);
+        return lower === "content-length" || !unforwardedHeaders.has(lower);
     });
     return Object.fromEntries(entries);
 }
 
-/** A caller may name further headers that concern only its connection. */
+/** Further headers that the caller's `Connection` header lists as concerning only its connection. */
 function connectionHeaders(value: string | undefined): ReadonlySet<string> {
     return new Set((value ?? "").split(",").map(name => name.trim().toLowerCase()));
 }
--- a/packages/entry/src/lib/services/servicePath.ts
+++ b/packages/entry/src/lib/services/servicePath.ts
@@ -12,7 +12,7 @@
  */
 export interface ServicePath {
     readonly service: string;
-    /** The path in one fixed spelling, so that the path that a rule sees is the one that the service sees. */
+    /** The normalised path, so that rules are matched against the same path that the service receives. */
     readonly path: string;
     readonly query: string;
 }
@@ -20,7 +20,7 @@
 /**
  * Splits the target of a call, such as `/services/records/work-orders?day=1`.
  *
- * @returns Undefined when the target names no service, or has spellings that services read in different ways.
+ * @returns Undefined if the target names no service or contains sequences that services interpret in different ways.
  * @internal
  */
 export function parseServicePath(target: string): ServicePath | undefined {
@@ -37,7 +37,9 @@
     return { service, path, query: queries.length === 0 ? "" : `?${queries.join("?")}` };
 }
 
-/** Decodes needless percent signs, merges slashes and resolves dots. Backslashes and encoded slashes are refused. */
+/**
+ * Decodes unneeded percent-encoding, merges slashes and resolves dot segments. Rejects backslashes and encoded slashes.
+ */
 function canonicalPath(path: string): string | undefined {
     if (path.includes("\\") || path.includes("#") || encodedSlash.test(path)) {
         return undefined;
--- a/packages/entry/src/lib/services/serviceRoute.ts
+++ b/packages/entry/src/lib/services/serviceRoute.ts
@@ -22,9 +22,9 @@
 }
 
 /**
- * Answers any method on /services/NAME/...: passes the call to one of the service's targets.
+ * Answers any method on /services/NAME/... by forwarding the call to one of the service's targets.
  *
- * @param open - The call's place among the requests in progress; it is told how to cut the call off.
+ * @param open - The call's entry among the requests in progress; the route sets its abort handler.
  * @internal
  */
 export async function serviceRoute(
@@ -42,7 +42,7 @@
         return exchange.refuse(body.error);
     }
     if (!exchange.disconnected) {
-        begin(services, exchange, caller, checked.value, body.value, open);
+        startCall(services, exchange, caller, checked.value, body.value, open);
     }
 }
 
@@ -68,7 +68,7 @@
     return Result.ok({ path, service, headers: headers.value, nonIdempotent });
 }
 
-function begin(
+function startCall(
     services: RouteServices,
     exchange: Exchange,
     caller: Caller,
@@ -98,8 +98,8 @@
         span: open.span,
         onEnd: () => open.answered(),
     });
-    open.onCut(() => call.cancel(stopped()));
-    exchange.onDisconnect(() => call.cancel(failure(requestCodes.cancelled, "the caller went away")));
+    open.onAbort(() => call.cancel(stoppedFailure()));
+    exchange.onDisconnect(() => call.cancel(failure(requestCodes.cancelled, "the caller disconnected")));
     call.start();
 }
 
@@ -138,7 +138,7 @@
     return { route: service, organisation, key, digest, retention: spec.claimHours * hour };
 }
 
-/** Passes an answer on as it comes, as fast as the caller reads. */
+/** Forwards an answer as it arrives, as fast as the caller reads. */
 function replySink({ clock, limits, replies }: RouteServices, exchange: Exchange): ReplySink {
     const { response } = exchange;
     let taken: () => void = () => undefined;
@@ -153,12 +153,12 @@
         get waiting() {
             return writer.waitingBytes;
         },
-        onTaken: handler => {
+        onDrain: handler => {
             taken = handler;
         },
         head: (status, headers) => {
             response.writeHead(status, returnedHeaders(headers));
-            // A short answer leaves in one write with its head; the head of a slow one does not wait for the body.
+            // A short answer is sent in one write with its headers; headers of a slow answer do not wait for its body.
             setImmediate(() => response.flushHeaders());
         },
         body: data => void writer.write(data),
@@ -167,6 +167,6 @@
     };
 }
 
-function stopped(): Failure {
-    return failure(requestCodes.outcomeUnknown, "the process stopped before the answer was whole");
+function stoppedFailure(): Failure {
+    return failure(requestCodes.outcomeUnknown, "the process stopped before the answer was complete");
 }
