--- a/packages/cli/src/lib/nodes/EntryNode.ts
+++ b/packages/cli/src/lib/nodes/EntryNode.ts
@@ -1,6 +1,6 @@
 import { type Claims } from "@waxwingspar/claims";
 import { type Configuration } from "@waxwingspar/config";
-import { Entry, type EntryLimits, type EntryMetrics, type FindLeft } from "@waxwingspar/entry";
+import { Entry, type EntryLimits, type EntryMetrics, type FindFinalOutcome } from "@waxwingspar/entry";
 import {
     createOrganisationLimits,
     createRetryBudgets,
@@ -21,7 +21,7 @@
     readonly configuration: Configuration;
     readonly claims: Claims;
     /** Looks up what became of a claim whose runner is gone. */
-    readonly findLeft?: FindLeft;
+    readonly findLeft?: FindFinalOutcome;
     /** The organisation for which callers without a credential act. */
     readonly anonymousOrganisation?: string;
     /** Which of the live entries this one is; by default the only one. */
@@ -59,7 +59,7 @@
             organisationLimits: createOrganisationLimits({ clock, part: options.part }),
             random,
             claims: options.claims,
-            findLeft: options.findLeft,
+            findFinalOutcome: options.findLeft,
             clock,
             logger,
             history: options.record,
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -7,4 +7,4 @@
 export { type EntryLimits, entryLimitsSchema } from "./lib/EntryLimits.js";
 export { type EntryMetrics } from "./lib/EntryMetrics.js";
 export { type ErrorBody } from "./lib/http/errorBody.js";
-export { type FindLeft } from "./lib/links/ClaimBinding.js";
+export { type FindFinalOutcome } from "./lib/links/ClaimBinding.js";
--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -17,7 +17,7 @@
 import { ReplyMemory } from "./http/ReplyMemory.js";
 import { type ClosedLink } from "./links/AgentLink.js";
 import { AgentLinks } from "./links/AgentLinks.js";
-import { type FindLeft } from "./links/ClaimBinding.js";
+import { type FindFinalOutcome } from "./links/ClaimBinding.js";
 import { completionsRoute, type RouteServices } from "./models/completionsRoute.js";
 import { modelsRoute } from "./models/modelsRoute.js";
 import { OpenRequest, OpenRequests } from "./OpenRequests.js";
@@ -42,7 +42,7 @@
     readonly organisationLimits?: OrganisationLimits;
     readonly claims: Claims;
     /** Looks up the final outcome of a claim whose runner is gone; without it the outcome counts as unknown. */
-    readonly findLeft?: FindLeft;
+    readonly findFinalOutcome?: FindFinalOutcome;
     readonly clock: Clock;
     /** Randomness for dividing requests between versions of a model during a rollout; by default with a fixed seed. */
     readonly random?: Random;
--- a/packages/entry/src/lib/links/ClaimBinding.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.ts
@@ -19,11 +19,11 @@
     readonly configuration: Configuration;
     readonly subject: ClaimSubject;
     /** Looks up the final outcome that the runner of a claim stored before it left; by default there is none. */
-    readonly findLeft?: FindLeft;
+    readonly findFinalOutcome?: FindFinalOutcome;
 }
 
 /** Looks up the final outcome of a claim whose runner is gone. @public */
-export type FindLeft = (claim: Claim) => Promise<FinalOutcome>;
+export type FindFinalOutcome = (claim: Claim) => Promise<FinalOutcome>;
 
 /** Maximum number of successive runners of one claim, all gone, whose outcomes are looked up in one attempt. */
 const maxGoneRunners = 3;
@@ -72,7 +72,7 @@
     }
 
     /** The answer to an earlier duplicate, if `bind` found that the runner stored it before it left. */
-    get leftReply(): StoredReply | undefined {
+    get storedReply(): StoredReply | undefined {
         return this.reply;
     }
 
@@ -110,7 +110,7 @@
      * @returns Whether the claim was released.
      */
     private async releaseIfNotRun(bound: Outcome<BoundRunner>): Promise<boolean> {
-        const { claim, options: { findLeft: findFinalOutcome } } = this;
+        const { claim, options: { findFinalOutcome: findFinalOutcome } } = this;
         if (bound.isOk || bound.error !== runnerGone || claim === undefined || findFinalOutcome === undefined) {
             return false;
         }
--- a/packages/entry/src/lib/models/completionsRoute.ts
+++ b/packages/entry/src/lib/models/completionsRoute.ts
@@ -15,7 +15,7 @@
 import { PacedWriter } from "../http/PacedWriter.js";
 import { type ReplyMemory } from "../http/ReplyMemory.js";
 import { type AgentLinks } from "../links/AgentLinks.js";
-import { ClaimBinding, type ClaimSubject, type FindLeft } from "../links/ClaimBinding.js";
+import { ClaimBinding, type ClaimSubject, type FindFinalOutcome } from "../links/ClaimBinding.js";
 import { type OpenRequest } from "../OpenRequests.js";
 import { type ModelVersions } from "../versions/ModelVersions.js";
 import { AnswerFormat } from "./AnswerFormat.js";
@@ -36,7 +36,7 @@
     readonly router: Router;
     readonly retryBudget: RetryBudget;
     readonly claims: Claims;
-    readonly findLeft?: FindLeft;
+    readonly findFinalOutcome?: FindFinalOutcome;
     readonly clock: Clock;
     readonly history: HistoryRecorder;
     readonly metrics: EntryMetrics;
--- a/packages/entry/src/lib/models/interleavings.test.ts
+++ b/packages/entry/src/lib/models/interleavings.test.ts
@@ -14,7 +14,7 @@
 import { FakeLinkPool } from "../testing/FakeAgents.js";
 import { FakeClaims } from "../testing/FakeClaims.js";
 import { FakeRouter } from "../testing/FakeRouter.js";
-import { HonestHead } from "../testing/HonestHead.js";
+import { SimulatedHead } from "../testing/SimulatedHead.js";
 import { targetResource } from "../testing/TestSite.js";
 import { type ModelRequest } from "./ModelRequest.js";
 import { RequestRun } from "./RequestRun.js";
@@ -26,7 +26,7 @@
 class Simulation {
     readonly clock = new ManualClock();
     readonly answers: Answer[] = [];
-    readonly heads: readonly HonestHead[];
+    readonly heads: readonly SimulatedHead[];
     private readonly lines: HistoryLine[] = [];
     private readonly sequences = new Map<string, number>();
     private readonly claims = new FakeClaims();
@@ -38,7 +38,7 @@
     constructor() {
         this.heads = [1, 2, 3].map(index => {
             const target = `target-${index}`;
-            const head: HonestHead = new HonestHead(target, this.clock, index, event => {
+            const head: SimulatedHead = new SimulatedHead(target, this.clock, index, event => {
                 this.record(target, head.agent.incarnation, event);
             });
             return head;
@@ -58,7 +58,7 @@
         const { clock, claims, configuration } = this;
         const findFinalOutcome = ({ id, runner }: Claim): Promise<FinalOutcome> =>
             Promise.resolve(this.finalOutcomes.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
-        const bindingOptions = { claims, links, configuration, findLeft: findFinalOutcome };
+        const bindingOptions = { claims, links, configuration, findFinalOutcome: findFinalOutcome };
         const answer = new Answer();
         history({
             event: "request.received",
@@ -89,13 +89,13 @@
         answer.run.start();
     }
 
-    restart(head: HonestHead): void {
+    restart(head: SimulatedHead): void {
         head.restart(`again-${this.restarts++}`);
     }
 
     /** Lets a head leave gracefully: stores the final outcomes of its claims and restarts it. */
-    leave(head: HonestHead): void {
-        this.finalOutcomes.set(head.agent.incarnation, head.claimsLeft());
+    leave(head: SimulatedHead): void {
+        this.finalOutcomes.set(head.agent.incarnation, head.finalOutcomes());
         this.restart(head);
     }
 
@@ -174,7 +174,7 @@
     };
 }
 
-type Action = (simulation: Simulation, head: HonestHead) => void;
+type Action = (simulation: Simulation, head: SimulatedHead) => void;
 
 const actions: Record<string, Action> = {
     step: (_, head) => head.step(),
@@ -213,7 +213,7 @@
         }
         await new Promise(resolve => setImmediate(resolve));
     }
-    actions["callerReads"]?.(simulation, simulation.heads[0] as HonestHead);
+    actions["callerReads"]?.(simulation, simulation.heads[0] as SimulatedHead);
     await simulation.finish();
     for (const answer of simulation.answers) {
         assert.equal(answer.ends, 1);
--- a/packages/entry/src/lib/services/ServiceCall.ts
+++ b/packages/entry/src/lib/services/ServiceCall.ts
@@ -187,8 +187,8 @@
         if (connected.isErr) {
             routed.end("refused");
             const { binding } = this.options;
-            if (binding?.leftReply !== undefined) {
-                return this.sendStoredReply(binding.leftReply);
+            if (binding?.storedReply !== undefined) {
+                return this.sendStoredReply(binding.storedReply);
             }
             return this.retryOrFinish(connected.error, this.recovery.afterNotSent(connected.error, stage.target));
         }
--- a/packages/entry/src/lib/testing/HonestHead.ts
+++ b/packages/entry/src/lib/testing/SimulatedHead.ts
@@ -21,7 +21,7 @@
  *
  * @internal
  */
-export class HonestHead {
+export class SimulatedHead {
     readonly agent: FakeAgent;
     private attempts: Attempt[] = [];
     /** The request that runs under each claim, or undefined for a claim that was refused. */
@@ -80,7 +80,7 @@
     }
 
     /** The final outcomes of its claims if it leaves now. Claims whose request has begun count as interrupted. */
-    claimsLeft(): (claim: string) => FinalOutcome {
+    finalOutcomes(): (claim: string) => FinalOutcome {
         const claims = new Map(this.claims);
         return claim => ({ kind: claims.get(claim) === undefined ? "notRun" : "unknown" });
     }
--- a/packages/entry/src/lib/testing/TestSite.ts
+++ b/packages/entry/src/lib/testing/TestSite.ts
@@ -19,7 +19,7 @@
 export interface TestSiteOptions {
     readonly clock?: ManualClock;
     readonly claims?: FakeClaims;
-    readonly findLeft?: EntryOptions["findLeft"];
+    readonly findFinalOutcome?: EntryOptions["findFinalOutcome"];
     readonly limits?: EntryOptions["limits"];
     readonly organisationLimits?: OrganisationLimits;
     readonly anonymousOrganisation?: string;
@@ -70,7 +70,7 @@
                 capacity: options.emptyBudget === true ? 0 : 20,
             }),
             claims: this.claims,
-            findLeft: options.findLeft,
+            findFinalOutcome: options.findFinalOutcome,
             organisationLimits: options.organisationLimits,
             clock: this.clock,
             logger: pino({ level: "error" }, { write: line => void this.faults.push(line) }),
