--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The entry that callers talk to: HTTP interface, routing, resume.
+ * The entry: the HTTP interface for callers, with routing, retries and resumption of streams.
  *
  * @packageDocumentation
  */
@@ -7,4 +7,4 @@
 export { type EntryLimits, entryLimitsSchema } from "./lib/EntryLimits.js";
 export { type EntryMetrics } from "./lib/EntryMetrics.js";
 export { type ErrorBody } from "./lib/http/errorBody.js";
-export { type FindLeft } from "./lib/links/ClaimBinding.js";
+export { type FindFinalOutcome } from "./lib/links/ClaimBinding.js";
