--- a/packages/config/src/lib/Configuration.ts
+++ b/packages/config/src/lib/Configuration.ts
@@ -1,15 +1,15 @@
 import { type Kind, type Resource } from "./resources/Resource.js";
 
 /**
- * The configuration that is in force in this process. It only moves to higher revisions.
+ * The configuration that is in force in this process. Its revision never decreases.
  *
  * @public
  */
 export interface Configuration {
-    /** The revision in force; 0 before the first. */
+    /** The revision in force; 0 until the first revision is applied. */
     readonly revision: number;
     get<K extends Kind>(kind: K, name: string): Resource<K> | undefined;
     list<K extends Kind>(kind: K): readonly Resource<K>[];
-    /** Adds a function that runs after each move to a higher revision. Returns the function that removes it. */
+    /** Adds a handler that runs after each change to a higher revision. Returns a function that removes the handler. */
     onChange(handler: (revision: number) => void): () => void;
 }
--- a/packages/config/src/lib/StaticConfiguration.ts
+++ b/packages/config/src/lib/StaticConfiguration.ts
@@ -2,7 +2,7 @@
 import { type Kind, type Resource, type Specs } from "./resources/Resource.js";
 
 /**
- * A configuration that is set by hand, for tests and embedded sites without a store.
+ * A configuration that the caller sets directly, for tests and embedded sites without a store.
  *
  * @public
  */
@@ -28,7 +28,7 @@
         return () => void this.handlers.delete(handler);
     }
 
-    /** Replaces all resources and moves to the next revision. */
+    /** Replaces all resources, increments the revision and runs the change handlers. */
     set(resources: readonly Resource[]): void {
         this.resources = resources;
         this.current++;
--- a/packages/config/src/lib/api/ApiContext.ts
+++ b/packages/config/src/lib/api/ApiContext.ts
@@ -11,35 +11,35 @@
 export interface ApiNode {
     readonly state: RevisionState;
     readonly ready: boolean;
-    /** Milliseconds since the process was in step with the store. */
+    /** Milliseconds since the process last had everything in force that the store held. */
     readonly age: number;
     progress(revision: number): Promise<Progress>;
 }
 
-/** What every route of the API works with. @internal */
+/** The dependencies that all routes of the API share. @internal */
 export interface ApiContext {
     readonly node: ApiNode;
     readonly store: ResourceStore;
     readonly clock: Clock;
 }
 
-/** One request of an operator who has been authenticated. @internal */
+/** A request from an authenticated operator. @internal */
 export interface ApiRequest {
     readonly operator: Operator;
     readonly method: string;
-    /** The parts of the path below the API's root, decoded. */
+    /** The decoded path segments below the API root. */
     readonly path: readonly string[];
     readonly query: URLSearchParams;
     readonly message: IncomingMessage;
     readonly response: ServerResponse;
 }
 
-/** An answer as JSON with its HTTP status. @internal */
+/** A JSON response with its HTTP status. @internal */
 export interface ApiAnswer {
     readonly status: number;
     readonly body: unknown;
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** The outcome of a route: an answer, or every failure. Undefined when the route writes its answer itself. @internal */
+/** The outcome of a route: a response or all failures. Undefined if the route writes its own response. @internal */
 export type RouteOutcome = Result<ApiAnswer | undefined, readonly (Failure | ResourceFailure)[]>;
--- a/packages/config/src/lib/api/OperatorAuthenticator.ts
+++ b/packages/config/src/lib/api/OperatorAuthenticator.ts
@@ -5,7 +5,7 @@
 import { type Resource } from "../resources/Resource.js";
 
 /**
- * Who sent a request, and what they may do.
+ * The identity and role of the sender of a request.
  *
  * @public
  */
@@ -16,21 +16,21 @@
 }
 
 /**
- * Options of the check of operators' credentials.
+ * Options of the authentication of operators.
  *
  * @public
  */
 export interface OperatorAuthenticatorOptions {
-    /** SHA-256 of a token that is an operator's before any credential exists, in hexadecimal. */
+    /** Hexadecimal SHA-256 of a token with the operator role, for use before any credential exists. */
     readonly bootstrapTokenHash?: string;
-    /** True to take requests without a token as an operator's, for a site on one machine. */
+    /** True to grant the operator role to requests without a token, for a site on one machine. */
     readonly allowAnonymous?: boolean;
 }
 
 const bearer = /^Bearer +(\S+)$/i;
 
 /**
- * Tells operators by their bearer token. Tokens are compared by hash, and appear in no message.
+ * Authenticates operators by bearer token. Tokens are compared by hash and never appear in messages.
  *
  * @internal
  */
@@ -48,7 +48,7 @@
         if (header === undefined) {
             return this.options.allowAnonymous === true
                 ? Result.ok({ name: "anonymous", role: "operator" })
-                : Result.err(failure(requestCodes.unauthenticated, "a bearer token is needed"));
+                : Result.err(failure(requestCodes.unauthenticated, "a bearer token is required"));
         }
         const token = bearer.exec(header)?.[1];
         if (token === undefined) {
@@ -67,11 +67,16 @@
     private byCredential(hash: string): Outcome<Operator> {
         const credential = this.index().get(hash);
         if (credential === undefined) {
-            return Result.err(failure(requestCodes.unauthenticated, "no credential has this token"));
+            return Result.err(failure(requestCodes.unauthenticated, "no credential matches this token"));
         }
         const { name, spec: { role } } = credential;
         return role === "caller"
-            ? Result.err(failure(requestCodes.forbidden, `credential ${name} is a caller's`))
+            ? Result.err(
+                failure(
+                    requestCodes.forbidden,
+                    `credential ${name} has the caller role, which may not use the operator API`,
+                ),
+            )
             : Result.ok({ name, role });
     }
 
--- a/packages/config/src/lib/api/ResourceApi.test.ts
+++ b/packages/config/src/lib/api/ResourceApi.test.ts
@@ -109,7 +109,7 @@
     assert.deepEqual([removal.status, removal.body.errors?.[0]?.code], [409, 3009]);
 });
 
-test("a request sent again under its key is applied once, and the key stands for one change only", async t => {
+test("a request repeated with its idempotency key is applied once, and the key fits one change only", async t => {
     const { send } = await setUp(t);
     const headers = { "idempotency-key": "k1" };
     assert.equal((await send("POST", "/v1/resources/service", service, headers)).status, 201);
@@ -119,7 +119,7 @@
     assert.equal((await send("POST", "/v1/resources/service", service)).status, 409);
 });
 
-/** Each row: what is wrong, the request, and the status and code of its answer. */
+/** Each row: the error, the request, and the expected status and code. */
 const badRequests: readonly [string, string, string, unknown, Record<string, string>, number, number][] = [
     ["text that is not JSON", "POST", "/v1/apply", "{ changes: ", {}, 400, 3000],
     ["an empty body", "PUT", "/v1/resources/service/s", "", {}, 400, 3000],
@@ -146,7 +146,7 @@
         403,
         1002,
     ],
-    ["a watch from no number", "GET", "/v1/watch?revision=x", undefined, {}, 400, 1000],
+    ["a watch from a revision that is not a number", "GET", "/v1/watch?revision=x", undefined, {}, 400, 1000],
     ["another version of the API", "GET", "/v2/resources", undefined, {}, 404, 1003],
     ["another method", "PATCH", "/v1/resources/service/s", "{}", {}, 404, 1003],
     ["no bearer token", "GET", "/v1/resources", undefined, { authorization: "Basic x" }, 401, 1001],
@@ -162,7 +162,7 @@
     });
 }
 
-test("roles: a viewer reads, a caller does nothing, secrets appear in no answer and no record", async t => {
+test("viewers may only read, callers have no access, and secrets appear in no response or record", async t => {
     const { send, answered } = await setUp(t);
     const credential = (name: keyof typeof secrets, organisation?: string) => ({
         kind: "credential",
@@ -190,12 +190,12 @@
     }
 });
 
-test("a site that allows it takes operators without a token", async t => {
+test("with anonymous access allowed, requests need no token", async t => {
     const { base } = await setUp(t, { allowAnonymous: true });
     assert.equal((await fetch(`${base}/v1/resources`)).status, 200);
 });
 
-test("a watch sends each later change once, ends when the credential goes, and tells when it is too late", async t => {
+test("a watch sends each later change once, ends with its credential, and fails if the log is too short", async t => {
     const { send, base } = await setUp(t);
     const spec = { role: "viewer", tokenHash: hashOf(secrets.viewer) };
     await send("PUT", "/v1/resources/credential/v", { spec });
@@ -214,7 +214,7 @@
     assert.deepEqual([late.status, late.body.errors?.[0]?.code], [410, 3010]);
 });
 
-test("a process that is not ready says so and answers no operator", async t => {
+test("a process that is not ready reports this and refuses API requests", async t => {
     const { send, node } = await setUp(t);
     node.ready = false;
     assert.equal((await send("GET", "/readyz")).status, 503);
--- a/packages/config/src/lib/api/ResourceApi.ts
+++ b/packages/config/src/lib/api/ResourceApi.ts
@@ -10,20 +10,22 @@
 import { ReadRoutes } from "./readRoutes.js";
 import { WatchRoute } from "./WatchRoute.js";
 
-const root = "v1";
+const apiVersion = "v1";
+/** Milliseconds within which a complete request must be received. */
 const requestTimeout = 30_000;
+/** The maximum size of the request headers in bytes. */
 const maxHeader = 16_384;
 
-/** Answers one path outside the API, such as `/metrics`. Such paths need no token. @public */
+/** Handles a path outside the API, such as `/metrics`. Such paths require no token. @public */
 export type PlainHandler = (message: IncomingMessage, response: ServerResponse) => void | Promise<void>;
 
-/** What is known of a request once it has been answered, without secrets. @public */
+/** A summary of an answered request, without secrets. @public */
 export interface AnsweredRequest {
     readonly operator?: string;
     readonly method: string;
     readonly path: string;
     readonly status: number;
-    /** Milliseconds from the request's arrival to its answer. */
+    /** Milliseconds from the arrival of the request to its response. */
     readonly duration: number;
 }
 
@@ -40,7 +42,7 @@
     readonly host?: string;
     /** The port; 0 lets the operating system choose. */
     readonly port?: number;
-    /** Kinds that only control duties write. */
+    /** Kinds that operators may not write because only control duties do. */
     readonly protectedKinds?: readonly Kind[];
     /** Handlers by path, such as `/metrics`. `/healthz` and `/readyz` have defaults. */
     readonly handlers?: Readonly<Record<string, PlainHandler>>;
@@ -48,7 +50,7 @@
 }
 
 /**
- * The operators' API over HTTP. docs/RESOURCES.md describes its requests and answers.
+ * The operator API over HTTP. docs/RESOURCES.md describes its requests and responses.
  *
  * @public
  */
@@ -78,7 +80,7 @@
         });
     }
 
-    /** Starts to listen. Returns the port. */
+    /** Starts listening. Returns the port. */
     listen(): Promise<Outcome<number>> {
         const { host = "127.0.0.1", port = 0 } = this.options;
         return new Promise(resolve => {
@@ -92,7 +94,7 @@
         });
     }
 
-    /** Stops listening, ends every watch, and resolves once the other requests have been answered. */
+    /** Stops listening, ends all watches and resolves once all other requests have been answered. */
     close(): Promise<void> {
         return new Promise(resolve => {
             this.server.close(() => resolve());
@@ -145,14 +147,14 @@
 
     private route(request: ApiRequest): Promise<RouteOutcome> | RouteOutcome {
         const [version, area, ...path] = request.path;
-        if (version !== root) {
-            return refuse(requestCodes.noSuchRoute, "the API begins at /v1");
+        if (version !== apiVersion) {
+            return refuse(requestCodes.noSuchRoute, "API paths start with /v1");
         }
         if (!this.options.node.ready) {
-            return refuse(platformCodes.storeUnavailable, "this process does not know the configuration yet");
+            return refuse(platformCodes.storeUnavailable, "this process has not loaded the configuration yet");
         }
         if (request.method !== "GET" && request.operator.role !== "operator") {
-            return refuse(requestCodes.forbidden, `credential ${request.operator.name} may only read`);
+            return refuse(requestCodes.forbidden, `credential ${request.operator.name} has read-only access`);
         }
         return this.routeArea(`${request.method} ${area}`, { ...request, path });
     }
@@ -177,7 +179,7 @@
         if (area === "GET watch" && depth === 0) {
             return this.watches.watch(request);
         }
-        return refuse(requestCodes.noSuchRoute, "no route has this method and path");
+        return refuse(requestCodes.noSuchRoute, "no route matches this method and path");
     }
 
     private readiness(response: ServerResponse): void {
--- a/packages/config/src/lib/api/WatchRoute.ts
+++ b/packages/config/src/lib/api/WatchRoute.ts
@@ -5,12 +5,14 @@
 import { hideSecrets } from "../store/diffFields.js";
 import { type ApiContext, type ApiRequest, type RouteOutcome } from "./ApiContext.js";
 
+/** Milliseconds between two bookmarks on a watch without changes. */
 const bookmarkInterval = 10_000;
-/** Bytes that may wait for a slow watcher before the watch ends. */
-const maxWaiting = 4 * 1024 * 1024;
+/** Bytes that may be buffered for a slow client before its watch is ended. */
+const maxBufferedBytes = 4 * 1024 * 1024;
 
 /**
- * `GET watch?revision=R`: every change after a revision as lines of JSON, without end.
+ * `GET watch?revision=R`: streams all changes after a revision as lines of JSON until either side closes the
+ * connection.
  *
  * @internal
  */
@@ -19,7 +21,7 @@
 
     constructor(
         private readonly context: ApiContext,
-        /** Tells whether the operator is still allowed to watch. */
+        /** Checks whether the operator is still allowed to watch. */
         private readonly isAllowed: (request: ApiRequest) => boolean,
     ) {}
 
@@ -29,17 +31,22 @@
         const revision = from === null ? state.revision : Number(from);
         if (!Number.isSafeInteger(revision) || revision < 0) {
             return Result.err([
-                failure(requestCodes.malformed, "revision is not a whole number", { path: "revision" }),
+                failure(requestCodes.malformed, "revision must be a non-negative integer", { path: "revision" }),
             ]);
         }
         if (state.since(revision) === undefined) {
-            return Result.err([failure(resourceCodes.revisionGone, `the log begins after revision ${state.oldest}`)]);
+            return Result.err([
+                failure(
+                    resourceCodes.revisionGone,
+                    `the log starts after revision ${state.oldest}, but the watch starts after ${revision}`,
+                ),
+            ]);
         }
         this.follow(request, revision);
         return Result.ok(undefined);
     }
 
-    /** Ends every watch. */
+    /** Ends all watches. */
     close(): void {
         this.open.forEach(response => response.end());
     }
@@ -52,7 +59,7 @@
         response.writeHead(200, { "content-type": "application/x-ndjson", "cache-control": "no-store" });
         const send = (): void => {
             const entries = state.since(revision);
-            if (entries === undefined || !this.isAllowed(request) || response.writableLength > maxWaiting) {
+            if (entries === undefined || !this.isAllowed(request) || response.writableLength > maxBufferedBytes) {
                 endWatch(response, entries === undefined);
                 return;
             }
--- a/packages/config/src/lib/api/answers.ts
+++ b/packages/config/src/lib/api/answers.ts
@@ -5,7 +5,7 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Sends an answer as JSON. @internal */
+/** Sends a JSON response. Only ends the response if its headers have already been sent. @internal */
 export function sendAnswer(response: ServerResponse, { status, body, headers = {} }: ApiAnswer): void {
     if (response.headersSent) {
         response.end();
@@ -21,7 +21,7 @@
     response.end(text);
 }
 
-/** The answer that lists failures; its status is that of the first. @internal */
+/** Builds the response that lists failures. Its status is that of the first failure. @internal */
 export function failureAnswer(failures: readonly (Failure | ResourceFailure)[]): ApiAnswer {
     const retryAfter = failures.find(one => one.retryAfter !== undefined)?.retryAfter;
     return {
--- a/packages/config/src/lib/api/changeRoutes.ts
+++ b/packages/config/src/lib/api/changeRoutes.ts
@@ -9,7 +9,7 @@
 import { type ApiContext, type ApiRequest, type RouteOutcome } from "./ApiContext.js";
 import { readBody } from "./readBody.js";
 
-/** Changes that one request may make together. */
+/** The maximum number of changes in one request. */
 const maxChanges = 1000;
 const changeIdPattern = /^[\w.:-]{1,100}$/;
 const versionPattern = /^(?:W\/)?"?(\d+)"?$/;
@@ -30,10 +30,10 @@
  * @internal
  */
 export class ChangeRoutes {
-    /** @param protectedKinds - Kinds that only control duties write. */
+    /** @param protectedKinds - Kinds that operators may not write because only control duties do. */
     constructor(private readonly context: ApiContext, private readonly protectedKinds: readonly Kind[]) {}
 
-    /** `PUT resources/KIND/NAME`, and `POST resources/KIND` for one that must not exist. */
+    /** `PUT resources/KIND/NAME`, and `POST resources/KIND` for a resource that must not exist yet. */
     async write(request: ApiRequest): Promise<RouteOutcome> {
         const [kind, name] = request.path;
         const body = await readBody(request.message);
@@ -68,7 +68,7 @@
         return this.apply(request, Result.ok([{ kind: parsed.data, name, resourceVersion: version.value }]));
     }
 
-    /** `POST apply`: several changes, all or none. */
+    /** `POST apply`: applies several changes atomically. */
     async applyAll(request: ApiRequest): Promise<RouteOutcome> {
         const body = await readBody(request.message);
         if (body.isErr) {
@@ -77,13 +77,19 @@
         const parsed = applySchema.safeParse(body.value);
         if (!parsed.success) {
             return Result.err([
-                failure(resourceCodes.invalidField, "an object with a list of changes is needed", { path: "changes" }),
+                failure(resourceCodes.invalidField, "expected an object with a non-empty list of changes", {
+                    path: "changes",
+                }),
             ]);
         }
         const { changes } = parsed.data;
         if (changes.length > maxChanges) {
             return Result.err([
-                failure(requestCodes.tooLarge, `one request may make ${maxChanges} changes`, { path: "changes" }),
+                failure(
+                    requestCodes.tooLarge,
+                    `${changes.length} changes in one request; at most ${maxChanges} are allowed`,
+                    { path: "changes" },
+                ),
             ]);
         }
         return this.apply(request, parseChanges(changes));
@@ -100,7 +106,10 @@
         const forbidden = changes.value.find(change => this.protectedKinds.includes(change.kind));
         if (forbidden !== undefined) {
             return Result.err([
-                failure(requestCodes.forbidden, `a ${forbidden.kind} is written by control duties only`),
+                failure(
+                    requestCodes.forbidden,
+                    `resources of kind ${forbidden.kind} are written by control duties only`,
+                ),
             ]);
         }
         const dryRun = request.query.get("dryRun") === "true";
@@ -114,7 +123,7 @@
         kind,
         name,
         action,
-        // A change that nobody wrote leaves the version as it was.
+        // A change that was not written leaves the version as it was.
         resourceVersion: dryRun || action === "unchanged" ? resourceVersion : revision,
         fields,
     }));
@@ -143,7 +152,7 @@
     const reason = fieldFailure(
         resourceCodes.invalidField,
         field,
-        `the ${field} in the body is not the one in the path`,
+        `the ${field} in the body differs from the one in the path`,
     );
     return { ...reason, resource: `${kind}/${name ?? ""}` };
 }
@@ -162,7 +171,7 @@
         : Result.ok(Number(version));
 }
 
-/** The operator's own id of the change, under the operator's name, so that ids of different operators never meet. */
+/** The change ID of the request, prefixed with the operator's name so that IDs of two operators never collide. */
 function readChangeId({ message, operator }: ApiRequest): Outcome<string> {
     const header = message.headers["idempotency-key"];
     if (header === undefined) {
@@ -170,7 +179,7 @@
     }
     return typeof header === "string" && changeIdPattern.test(header)
         ? Result.ok(`${operator.name}:${header}`)
-        : Result.err(malformed("the Idempotency-Key header is not 1 to 100 letters, digits or . : _ -"));
+        : Result.err(malformed("the Idempotency-Key header must consist of 1 to 100 letters, digits or . : _ -"));
 }
 
 function asObject(value: unknown): object {
--- a/packages/config/src/lib/api/readBody.ts
+++ b/packages/config/src/lib/api/readBody.ts
@@ -3,13 +3,14 @@
 import { type IncomingMessage } from "node:http";
 import { Result } from "true-myth";
 
-/** Bytes that a request may carry. */
+/** The maximum size of a request body in bytes. */
 const maxBody = 8 * 1024 * 1024;
 
 /**
  * Reads the body of a request as JSON with comments.
  *
- * @returns `tooLarge`, or `invalidSyntax` with the place of the first fault.
+ * @returns The parsed value, or the failure: `tooLarge`, `malformed` if the body is incomplete, or `invalidSyntax` with
+ * the position of the first error.
  * @internal
  */
 export async function readBody(message: IncomingMessage): Promise<Outcome<unknown>> {
@@ -19,13 +20,13 @@
         for await (const part of message as AsyncIterable<Buffer>) {
             size += part.length;
             if (size > maxBody) {
-                return Result.err(failure(requestCodes.tooLarge, `a request may carry ${maxBody} bytes`));
+                return Result.err(failure(requestCodes.tooLarge, `the request body exceeds ${maxBody} bytes`));
             }
             parts.push(part);
         }
     }
     catch {
-        return Result.err(failure(requestCodes.malformed, "the request ended before its body was whole"));
+        return Result.err(failure(requestCodes.malformed, "the request ended before its body was complete"));
     }
     return parseText(Buffer.concat(parts).toString());
 }
@@ -43,7 +44,7 @@
         return Result.ok(value);
     }
     const before = text.slice(0, first?.offset ?? 0).split("\n");
-    const reason = first === undefined ? "nothing there" : printParseErrorCode(first.error);
+    const reason = first === undefined ? "the text is empty" : printParseErrorCode(first.error);
     const column = (before.at(-1)?.length ?? 0) + 1;
     return Result.err(failure(resourceCodes.invalidSyntax, `line ${before.length}, column ${column}: ${reason}`));
 }
--- a/packages/config/src/lib/api/readRoutes.ts
+++ b/packages/config/src/lib/api/readRoutes.ts
@@ -6,7 +6,8 @@
 import { type ApiContext, type ApiRequest, type RouteOutcome } from "./ApiContext.js";
 import { showResource } from "./resourceStatus.js";
 
-const progressLifetime = 500;
+/** Milliseconds for which a collected progress is reused. */
+const progressCacheTime = 500;
 
 /**
  * Routes that read resources and their status.
@@ -37,7 +38,7 @@
         return Result.ok({ status: 200, body });
     }
 
-    /** `GET status`: how far the newest revision has come. */
+    /** `GET status`: the progress of the newest revision. */
     async status(): Promise<RouteOutcome> {
         const { node } = this.context;
         const { revision, hosts, behindCount, behind } = await this.progress();
@@ -58,12 +59,12 @@
         return Result.ok({ status: 200, body: showResource(resource, progress), headers });
     }
 
-    /** Requests that come together share one question to the processes. */
+    /** Collects the progress of the newest revision. Requests in close succession share one result. */
     private progress(): Promise<Progress> {
         const { node, clock } = this.context;
         const { revision } = node.state;
         const { recent } = this;
-        if (recent !== undefined && recent.revision === revision && clock.now() - recent.at < progressLifetime) {
+        if (recent !== undefined && recent.revision === revision && clock.now() - recent.at < progressCacheTime) {
             return recent.progress;
         }
         const progress = node.progress(revision);
--- a/packages/config/src/lib/api/resourceStatus.ts
+++ b/packages/config/src/lib/api/resourceStatus.ts
@@ -2,27 +2,27 @@
 import { type Resource } from "../resources/Resource.js";
 import { hideSecrets } from "../store/diffFields.js";
 
-const namesShown = 10;
+const maxNames = 10;
 
 /**
- * How far the current spec of a resource has come.
+ * The rollout status of the current spec of a resource.
  *
  * @public
  */
 export interface ResourceStatus {
     /** The revision that accepted the spec. */
     readonly acceptedRevision: number;
-    /** True once every known process has it in force. */
+    /** True once all known processes have the spec in force. */
     readonly inForce: boolean;
     readonly hostsBehind: {
         readonly count: number;
-        /** The first of them. */
+        /** The first of these processes. */
         readonly names: readonly string[];
     };
 }
 
 /**
- * The status of a resource, from the progress of the newest revision.
+ * Derives the status of a resource from the progress of the newest revision.
  *
  * @internal
  */
@@ -31,11 +31,11 @@
     const unnamed = progress.behindCount - progress.behind.length;
     const count = behind.length
         + (resourceVersion <= progress.revision ? unnamed : progress.hosts - progress.behindCount);
-    const names = behind.slice(0, namesShown).map(one => one.process);
+    const names = behind.slice(0, maxNames).map(one => one.process);
     return { acceptedRevision: resourceVersion, inForce: count === 0, hostsBehind: { count, names } };
 }
 
-/** A resource as answers show it. @internal */
+/** The representation of a resource in responses, with secrets hidden. @internal */
 export function showResource(resource: Resource, progress?: Progress) {
     const { kind, name, resourceVersion, spec } = resource;
     const shown = { kind, name, resourceVersion, spec: hideSecrets(spec) };
--- a/packages/config/src/lib/resources/Resource.ts
+++ b/packages/config/src/lib/resources/Resource.ts
@@ -49,7 +49,7 @@
 };
 
 /**
- * One resource as it is in force.
+ * A resource as it is in force.
  *
  * @public
  */
@@ -57,6 +57,6 @@
     readonly kind: K;
     readonly name: string;
     readonly spec: Specs[K];
-    /** The revision that last changed it; sent back as the condition of an update. */
+    /** The revision that last changed the resource. Updates send it back as their condition. */
     readonly resourceVersion: number;
 }
--- a/packages/config/src/lib/resources/specs.ts
+++ b/packages/config/src/lib/resources/specs.ts
@@ -12,20 +12,20 @@
 /** @internal */
 export const modelSpecSchema = z.strictObject({
     layers: z.number().int().positive(),
-    /** Versions that may be served. Requests go to `current`; while it takes over, to others that still have pipelines. */
+    /** Versions that may be served. Requests go to `current`; during a rollout also to others that have pipelines. */
     versions: z.array(nameSchema).min(1),
     current: nameSchema,
     /** Bytes of weights of one layer. */
     layerBytes: z.number().int().positive().default(1_000_000_000),
-    /** Bytes of activations of one position, as passed between two stages. */
+    /** Bytes of activations per token position, as passed between two stages. */
     activationBytes: z.number().int().positive().default(16_384),
-    /** How many whole pipelines the placement aims at. */
+    /** The number of complete pipelines that the placement aims for. */
     replicas: z.number().int().positive().default(1),
-    /** The bound on the first token, in milliseconds. */
+    /** The upper bound on the time to the first token, in milliseconds. */
     firstTokenBound: z.number().positive().default(540),
-    /** The bound between two tokens, in milliseconds. */
+    /** The upper bound on the time between two tokens, in milliseconds. */
     tokenBound: z.number().positive().default(72),
-    /** Tokens of prompt and answer together. */
+    /** The maximum number of tokens of prompt and answer together. */
     contextTokens: z.number().int().positive().default(8192),
 });
 
@@ -52,16 +52,16 @@
 
 /** @internal */
 export const targetSpecSchema = z.strictObject({
-    /** Where the agent beside the target listens: an IP address and a port. */
+    /** The IP address on which the target's agent listens. */
     host: z.union([z.ipv4(), z.ipv6()]),
     port: z.number().int().min(1).max(65535),
     dataCentre: nameSchema,
     region: nameSchema.default("local"),
     accelerator: z.strictObject({
         kind: nameSchema,
-        /** Bytes of memory for weights. */
+        /** Memory for weights, in bytes. */
         memory: z.number().int().positive().default(80_000_000_000),
-        /** Speed against the slowest kind, which is 1. */
+        /** Speed relative to the slowest kind, whose speed is 1. */
         speed: z.number().positive().default(1),
     }).default({ kind: "generic", memory: 80_000_000_000, speed: 1 }),
     /** The link of the target's host: bandwidth in bytes per second, one-way latency in milliseconds. */
@@ -69,13 +69,13 @@
         bandwidth: z.number().positive().default(1_250_000_000),
         latency: z.number().nonnegative().default(0.1),
     }).default({ bandwidth: 1_250_000_000, latency: 0.1 }),
-    /** Layers that the operator pins here. Where absent, the placement decides. */
+    /** Layers that the operator pins to this target. If empty, the placement decides. */
     holds: z.array(z.strictObject({ model: nameSchema, version: nameSchema, ...layerRangeSchema.shape })).default([]),
-    /** The plain service that runs here, if any. */
+    /** The plain service that runs on this target, if any. */
     service: nameSchema.optional(),
-    /** Requests that the target runs at once. */
+    /** The number of requests that the target runs concurrently. */
     slots: z.number().int().positive().default(32),
-    /** True if the engine refuses an order with an old fencing number. */
+    /** True if the engine rejects orders with an old fencing token. */
     checksFence: z.boolean().default(false),
 });
 
@@ -88,13 +88,13 @@
 
 /** @internal */
 export const serviceSpecSchema = z.strictObject({
-    /** Calls that may not be repeated: method, and path with `*` for any rest. The first match decides. */
+    /** Calls that must not be repeated: method and path, with `*` for any rest of the path. The first match decides. */
     nonIdempotent: z.array(z.strictObject({ method: z.string(), path: z.string().startsWith("/") })).default([]),
     /** Milliseconds within which an answer is expected. */
     timeout: z.number().positive().default(10_000),
     /** Hours for which the claim of a call that is not idempotent is kept. */
     claimHours: z.number().positive().default(24),
-    /** Bytes that the body of a call may have. */
+    /** The maximum size of the body of a call, in bytes. */
     maxBody: z.number().int().positive().default(1_048_576),
 });
 
@@ -107,15 +107,15 @@
 
 /** @internal */
 export const organisationSpecSchema = z.strictObject({
-    /** Higher goes first. A request may ask for less, never for more. */
+    /** Requests of higher priority are served first. A request may ask for a lower priority, never for a higher one. */
     priority: z.number().int().min(0).max(9).default(5),
-    /** The weight of its share when capacity is short. */
+    /** The weight of the organisation's share when capacity is short. */
     share: z.number().positive().default(1),
-    /** Requests per second over all entries together; absent means no limit. */
+    /** Maximum requests per second over all entries together; absent means no limit. */
     requestsPerSecond: z.number().positive().optional(),
-    /** Requests in progress over all entries together; absent means no limit. */
+    /** Maximum requests in flight over all entries together; absent means no limit. */
     maxInFlight: z.number().int().positive().optional(),
-    /** Models and services that it may use; absent means all. */
+    /** Models and services that the organisation may use; absent means all. */
     allow: z.array(nameSchema).optional(),
 });
 
@@ -130,7 +130,7 @@
 export const credentialSpecSchema = z.strictObject({
     /** SHA-256 of the secret token, in hexadecimal. The token itself is never stored. */
     tokenHash: z.string().regex(/^[0-9a-f]{64}$/),
-    /** What the holder is: a caller of an organisation, or an operator. */
+    /** The role of the holder: a caller of an organisation, or a read-only or full operator. */
     role: z.enum(["caller", "viewer", "operator"]),
     organisation: nameSchema.optional(),
 });
@@ -143,7 +143,7 @@
 export type CredentialSpec = z.infer<typeof credentialSpecSchema>;
 
 /**
- * Where the layers of a model version are to run: written by the placement, not by operators.
+ * The assignment of the layers of a model version to targets. Written by the placement duty, not by operators.
  *
  * @internal
  */
@@ -151,12 +151,12 @@
     model: nameSchema,
     version: nameSchema,
     stages: z.array(z.strictObject({ target: nameSchema, ...layerRangeSchema.shape })).min(1),
-    /** True once every stage has loaded its layers; only then do requests use it. */
+    /** True once every stage has loaded its layers; requests use the pipeline only then. */
     ready: z.boolean(),
 });
 
 /**
- * The spec of a placement: which targets hold which layers of one pipeline.
+ * The spec of a placement: the targets of one pipeline and the layers that each holds.
  *
  * @public
  */
--- a/packages/config/src/lib/validation/ResourceFailure.ts
+++ b/packages/config/src/lib/validation/ResourceFailure.ts
@@ -3,7 +3,7 @@
 import { type Kind, type Resource } from "../resources/Resource.js";
 
 /**
- * A failure that names the resource at fault, as `kind/name`, and the field, as a dotted path.
+ * A failure with the invalid resource, as `kind/name`, and the field, as a dotted path.
  *
  * @public
  */
@@ -11,10 +11,10 @@
     readonly resource: string;
 }
 
-/** The resources that a rule may look at. @internal */
+/** Read access to the resources that a rule checks against. @internal */
 export type ResourceView = Pick<Configuration, "get" | "list">;
 
-/** Checks one resource against the others. @internal */
+/** Checks a resource against the other resources. @internal */
 export type Rule<K extends Kind> = (resource: Resource<K>, view: ResourceView) => Failure[];
 
 /** A failure of one field. @internal */
@@ -22,7 +22,7 @@
     return failure(code, message, { path });
 }
 
-/** Names the resource at fault. @internal */
+/** Adds the invalid resource to failures. @internal */
 export function withResource(failures: readonly Failure[], resource: string): ResourceFailure[] {
     return failures.map(one => ({ ...one, resource }));
 }
--- a/packages/config/src/lib/validation/ViewIndex.ts
+++ b/packages/config/src/lib/validation/ViewIndex.ts
@@ -3,14 +3,14 @@
 import { type ResourceView } from "./ResourceFailure.js";
 
 /**
- * Look-ups over all resources of a view, built once for each view, so that a change of thousands of resources is
+ * Indexes over all resources of a view. They are built once per view, so that a change of thousands of resources is
  * checked in linear time.
  *
  * @internal
  */
 export class ViewIndex {
     private static readonly indexes = new WeakMap<ResourceView, ViewIndex>();
-    /** Whether a target is left that neither holds pinned layers nor runs a service. */
+    /** Whether there is a target that neither holds pinned layers nor runs a service. */
     readonly hasFreeTarget: boolean;
     private readonly byAddress = new Map<string, string[]>();
     private readonly byToken = new Map<string, string[]>();
@@ -27,24 +27,24 @@
         this.pinned.forEach(ranges => ranges.sort((a, b) => a.first - b.first));
     }
 
-    /** The index of a view that does not change any more. */
+    /** Returns the cached index of a view. The view must not change any more. */
     static of(view: ResourceView): ViewIndex {
         const index = ViewIndex.indexes.get(view) ?? new ViewIndex(view);
         ViewIndex.indexes.set(view, index);
         return index;
     }
 
-    /** Another target with the same address. */
-    addressTwin(target: Resource<"target">): string | undefined {
+    /** Finds the name of another target with the same address. */
+    findSameAddress(target: Resource<"target">): string | undefined {
         return this.byAddress.get(addressOf(target))?.find(name => name !== target.name);
     }
 
-    /** Another credential with the same token. */
-    tokenTwin(credential: Resource<"credential">): string | undefined {
+    /** Finds the name of another credential with the same token. */
+    findSameToken(credential: Resource<"credential">): string | undefined {
         return this.byToken.get(credential.spec.tokenHash)?.find(name => name !== credential.name);
     }
 
-    /** Every range that operators pinned of a model version, by first layer. */
+    /** All ranges of a model version that operators pinned, sorted by first layer. */
     pins(model: string, version: string): readonly LayerRange[] {
         return this.pinned.get(`${model}/${version}`) ?? [];
     }
--- a/packages/config/src/lib/validation/capacityRules.ts
+++ b/packages/config/src/lib/validation/capacityRules.ts
@@ -5,8 +5,9 @@
 const { insufficientCapacity } = resourceCodes;
 
 /**
- * The declared targets must have memory for every replica of a model, beside the other models. It is checked when a
- * model changes, not when a target goes: that targets are lost is a fact, which the configuration must be able to say.
+ * The declared targets must have memory for all replicas of a model in addition to the other models. The rule is
+ * checked when a model changes, not when a target is removed, because operators must always be able to declare that a
+ * target is gone.
  *
  * @internal
  */
@@ -15,18 +16,22 @@
     const places = sum(targets.map(target => Math.floor(target.spec.accelerator.memory / spec.layerBytes)));
     const wanted = spec.layers * spec.replicas;
     if (places < wanted) {
-        const message = `${wanted} layers are wanted and the declared targets have room for ${places}`;
+        const message = `the replicas need ${wanted} layers, but the declared targets have memory for ${places}`;
         return [fieldFailure(insufficientCapacity, "spec.replicas", message)];
     }
     const memory = sum(targets.map(target => target.spec.accelerator.memory));
     const demand = sum(view.list("model").map(modelBytes));
     return demand <= memory
         ? []
-        : [fieldFailure(insufficientCapacity, "spec.replicas", `all models need ${demand} bytes of ${memory}`)];
+        : [fieldFailure(
+            insufficientCapacity,
+            "spec.replicas",
+            `all models together need ${demand} bytes, but the declared targets have ${memory}`,
+        )];
 };
 
 /**
- * What is pinned to a target must fit its memory.
+ * The layers pinned to a target must fit into its memory.
  *
  * @internal
  */
@@ -39,7 +44,7 @@
 };
 
 /**
- * Each stage of a placement must fit the memory of its target.
+ * Each stage of a placement must fit into the memory of its target.
  *
  * @internal
  */
@@ -60,7 +65,11 @@
 }
 
 function tooLarge(path: string, used: number, memory: number): Failure {
-    return fieldFailure(insufficientCapacity, path, `${used} bytes of weights do not fit ${memory} bytes of memory`);
+    return fieldFailure(
+        insufficientCapacity,
+        path,
+        `${used} bytes of weights do not fit ${memory} bytes of memory`,
+    );
 }
 
 function sum(numbers: readonly number[]): number {
--- a/packages/config/src/lib/validation/layerRules.ts
+++ b/packages/config/src/lib/validation/layerRules.ts
@@ -6,7 +6,7 @@
 const { invalidField, layerGap, layerOverlap } = resourceCodes;
 
 /**
- * The stages of a placement must cover every layer once, in order.
+ * The stages of a placement must cover each layer exactly once, in order.
  *
  * @internal
  */
@@ -18,7 +18,7 @@
     const failures = spec.stages.flatMap((stage, index) => rangeFailures(stage, layers, `spec.stages.${index}`));
     let next = 0;
     spec.stages.forEach((stage, index) => {
-        failures.push(...seamFailures(stage.first, next, `spec.stages.${index}.first`));
+        failures.push(...boundaryFailures(stage.first, next, `spec.stages.${index}.first`));
         next = stage.last + 1;
     });
     if (next < layers) {
@@ -28,7 +28,7 @@
 };
 
 /**
- * What a target holds must lie within the model, and no layer may be held twice.
+ * The ranges pinned to a target must lie within the model and must not overlap.
  *
  * @internal
  */
@@ -37,20 +37,21 @@
         const path = `spec.holds.${index}`;
         const layers = view.get("model", held.model)?.spec.layers;
         const failures = layers === undefined ? [] : rangeFailures(held, layers, path);
-        const twin = spec.holds.slice(0, index).find(other =>
+        const overlapping = spec.holds.slice(0, index).find(other =>
             other.model === held.model && other.version === held.version
             && other.first <= held.last && held.first <= other.last
         );
-        if (twin !== undefined) {
-            const message = `layers ${held.first} to ${held.last} overlap layers ${twin.first} to ${twin.last}`;
+        if (overlapping !== undefined) {
+            const message =
+                `layers ${held.first} to ${held.last} overlap layers ${overlapping.first} to ${overlapping.last}`;
             failures.push(fieldFailure(layerOverlap, `${path}.first`, message));
         }
         return failures;
     });
 
 /**
- * When operators pin a model version and no target is left for the placement to fill, the pins alone must make a whole
- * pipeline: ranges that follow one another from the first layer to the last.
+ * If operators pin a model version and no target is left for the placement to fill, the pinned ranges alone must form a
+ * complete pipeline: contiguous ranges from the first layer to the last.
  *
  * @internal
  */
@@ -62,12 +63,12 @@
     return target.spec.holds.flatMap((held, position) => {
         const layers = view.get("model", held.model)?.spec.layers;
         const ranges = index.pins(held.model, held.version);
-        return layers === undefined ? [] : chainFailures(ranges, layers, `spec.holds.${position}`);
+        return layers === undefined ? [] : coverageFailures(ranges, layers, `spec.holds.${position}`);
     });
 };
 
-/** Ranges that cover every layer, but of which none continues another at the seam, overlap. */
-function chainFailures(ranges: readonly LayerRange[], layers: number, path: string): Failure[] {
+/** Requires that some of the ranges, sorted by first layer, cover all layers without a gap or an overlap. */
+function coverageFailures(ranges: readonly LayerRange[], layers: number, path: string): Failure[] {
     let covered = 0;
     const reached = new Set([0]);
     for (const range of ranges) {
@@ -84,19 +85,25 @@
     }
     return reached.has(layers)
         ? []
-        : [fieldFailure(layerOverlap, path, "the pinned ranges cover the model but overlap at every seam")];
+        : [fieldFailure(layerOverlap, path, "the pinned ranges cover all layers, but only with overlaps")];
 }
 
 function rangeFailures({ first, last }: LayerRange, layers: number, path: string): Failure[] {
     if (last < first) {
-        return [fieldFailure(invalidField, `${path}.last`, `the range ends at ${last}, before it begins at ${first}`)];
+        return [
+            fieldFailure(
+                invalidField,
+                `${path}.last`,
+                `the range ends at layer ${last}, before its first layer ${first}`,
+            ),
+        ];
     }
     return last < layers
         ? []
         : [fieldFailure(invalidField, `${path}.last`, `the model has layers 0 to ${layers - 1}, not ${last}`)];
 }
 
-function seamFailures(first: number, expected: number, path: string): Failure[] {
+function boundaryFailures(first: number, expected: number, path: string): Failure[] {
     if (first > expected) {
         return [gap(path, expected, first - 1)];
     }
--- a/packages/config/src/lib/validation/parseDesired.ts
+++ b/packages/config/src/lib/validation/parseDesired.ts
@@ -7,7 +7,7 @@
 import { type ResourceFailure, withResource } from "./ResourceFailure.js";
 
 /**
- * What an operator wants of one resource: this spec, or its removal when there is no spec.
+ * The desired state of one resource: the spec, or removal if there is no spec.
  *
  * @public
  */
@@ -24,15 +24,15 @@
     name: nameSchema,
     spec: z.unknown(),
     resourceVersion: z.number().int().nonnegative().optional(),
-    /** What `get` shows; ignored, so that its output can be edited and applied. */
+    /** Part of the output of `get`; ignored, so that this output can be edited and applied. */
     status: z.unknown().optional(),
 });
 
 /**
- * Checks the form of one resource as an operator wrote it, and fills in defaults.
+ * Validates a resource document against its schema and fills in defaults.
  *
- * @param document - A value that was read from JSON.
- * @returns The change, or every fault found, each with its field.
+ * @param document - A value parsed from JSON.
+ * @returns The change, or all failures, each with its field.
  * @public
  */
 export function parseDesired(document: unknown): Result<DesiredChange, readonly ResourceFailure[]> {
@@ -50,7 +50,7 @@
 }
 
 /**
- * Checks the form of several resources.
+ * Validates several resource documents against their schemas.
  *
  * @public
  */
--- a/packages/config/src/lib/validation/referenceRules.ts
+++ b/packages/config/src/lib/validation/referenceRules.ts
@@ -7,7 +7,7 @@
 
 /** @internal */
 export const modelReferences: Rule<"model"> = ({ spec }) => [
-    ...repeated(spec.versions, "spec.versions"),
+    ...repeatedFailures(spec.versions, "spec.versions"),
     ...(spec.versions.includes(spec.current)
         ? []
         : [fieldFailure(missingReference, "spec.current", `version ${spec.current} is not in spec.versions`)]),
@@ -15,8 +15,8 @@
 
 /** @internal */
 export const adapterReferences: Rule<"adapter"> = ({ spec }, view) => [
-    ...repeated(spec.versions, "spec.versions"),
-    ...missing(view, "model", spec.model, "spec.model"),
+    ...repeatedFailures(spec.versions, "spec.versions"),
+    ...missingFailures(view, "model", spec.model, "spec.model"),
 ];
 
 /** @internal */
@@ -24,8 +24,8 @@
     ...target.spec.holds.flatMap((held, index) =>
         versionReference(view, held.model, held.version, `spec.holds.${index}`)
     ),
-    ...(target.spec.service === undefined ? [] : missing(view, "service", target.spec.service, "spec.service")),
-    ...addressReuse(target, view),
+    ...(target.spec.service === undefined ? [] : missingFailures(view, "service", target.spec.service, "spec.service")),
+    ...addressFailures(target, view),
 ];
 
 /** @internal */
@@ -44,9 +44,9 @@
         failures.push(fieldFailure(invalidField, "spec.organisation", "a caller's credential needs an organisation"));
     }
     if (organisation !== undefined) {
-        failures.push(...missing(view, "organisation", organisation, "spec.organisation"));
+        failures.push(...missingFailures(view, "organisation", organisation, "spec.organisation"));
     }
-    if (ViewIndex.of(view).tokenTwin(credential) !== undefined) {
+    if (ViewIndex.of(view).findSameToken(credential) !== undefined) {
         failures.push(fieldFailure(invalidField, "spec.tokenHash", "another credential has the same token"));
     }
     return failures;
@@ -55,28 +55,30 @@
 /** @internal */
 export const placementReferences: Rule<"placement"> = ({ spec }, view) => [
     ...versionReference(view, spec.model, spec.version, "spec"),
-    ...spec.stages.flatMap((stage, index) => missing(view, "target", stage.target, `spec.stages.${index}.target`)),
-    ...repeated(spec.stages.map(stage => stage.target), "spec.stages", ".target"),
+    ...spec.stages.flatMap((stage, index) =>
+        missingFailures(view, "target", stage.target, `spec.stages.${index}.target`)
+    ),
+    ...repeatedFailures(spec.stages.map(stage => stage.target), "spec.stages", ".target"),
 ];
 
 /**
- * The resources that keep one from being removed. Placements do not, since they are written by the placement duty,
- * which follows what operators declare.
+ * Checks whether other resources prevent the removal of a resource. Placements do not prevent it, because the placement
+ * duty adapts them to what operators declare.
  *
  * @internal
  */
-export function blockRemoval(kind: Kind, name: string, view: ResourceView): Failure[] {
-    return referrers(kind, name, view).map(referrer =>
+export function removalFailures(kind: Kind, name: string, view: ResourceView): Failure[] {
+    return findReferrers(kind, name, view).map(referrer =>
         fieldFailure(stillReferenced, "name", `${referrer} refers to it`)
     );
 }
 
 /**
- * The resources that refer to one, as `kind/name`, without placements.
+ * Lists the resources, except placements, that refer to a resource, as `kind/name`.
  *
  * @internal
  */
-export function referrers(kind: Kind, name: string, view: ResourceView): string[] {
+export function findReferrers(kind: Kind, name: string, view: ResourceView): string[] {
     const found: Resource[] = [];
     if (kind === "model") {
         found.push(...view.list("adapter").filter(one => one.spec.model === name));
@@ -94,7 +96,7 @@
     return found.map(one => `${one.kind}/${one.name}`);
 }
 
-function missing(view: ResourceView, kind: Kind, name: string, path: string): Failure[] {
+function missingFailures(view: ResourceView, kind: Kind, name: string, path: string): Failure[] {
     return view.get(kind, name) === undefined
         ? [fieldFailure(missingReference, path, `no ${kind} is named ${name}`)]
         : [];
@@ -103,14 +105,14 @@
 function versionReference(view: ResourceView, model: string, version: string, path: string): Failure[] {
     const found = view.get("model", model);
     if (found === undefined) {
-        return missing(view, "model", model, `${path}.model`);
+        return missingFailures(view, "model", model, `${path}.model`);
     }
     return found.spec.versions.includes(version)
         ? []
         : [fieldFailure(missingReference, `${path}.version`, `model ${model} has no version ${version}`)];
 }
 
-function repeated(names: readonly string[], path: string, suffix = ""): Failure[] {
+function repeatedFailures(names: readonly string[], path: string, suffix = ""): Failure[] {
     return names.flatMap((name, index) =>
         names.indexOf(name) === index
             ? []
@@ -118,8 +120,10 @@
     );
 }
 
-/** Each target has an agent of its own, so no two can share an address. */
-function addressReuse(target: Resource<"target">, view: ResourceView): Failure[] {
-    const other = ViewIndex.of(view).addressTwin(target);
-    return other === undefined ? [] : [fieldFailure(invalidField, "spec.port", `target ${other} has this address`)];
+/** Each target has its own agent, so two targets cannot share an address. */
+function addressFailures(target: Resource<"target">, view: ResourceView): Failure[] {
+    const other = ViewIndex.of(view).findSameAddress(target);
+    return other === undefined
+        ? []
+        : [fieldFailure(invalidField, "spec.port", `target ${other} already has this address`)];
 }
--- a/packages/config/src/lib/validation/validateChanges.test.ts
+++ b/packages/config/src/lib/validation/validateChanges.test.ts
@@ -23,7 +23,7 @@
     { kind: "adapter", name: "a", spec: { model: "m", versions: ["v1"], bytes: 1 } },
 ];
 
-/** Each row: what is wrong, the resources beforehand, the change, and the code, resource and field reported. */
+/** Each row: the error, the resources beforehand, the change, and the expected code, resource and field. */
 const badInputs: readonly [string, unknown[], unknown[], keyof typeof resourceCodes, string, string][] = [
     ["kind unknown", [], [{ kind: "modle", name: "m", spec: {} }], "invalidField", "modle/m", "kind"],
     ["kind missing", [], [{ name: "m", spec: {} }], "invalidField", "unnamed", "kind"],
@@ -131,7 +131,7 @@
     ],
     ["pins leave the end", [], goodSite.slice(0, 2), "layerGap", "target/t1", "spec.holds.0"],
     [
-        "pins overlap at every seam",
+        "pins that cover the model only with an overlap",
         [],
         [...goodSite.slice(0, 2), target("t2", 11, { holds: [pin(3, 7)] })],
         "layerOverlap",
@@ -228,8 +228,8 @@
     ],
 ];
 
-/** Each row: what is removed, and which resource holds it back. */
-const heldBack: readonly [string, string, string][] = [
+/** Each row: the kind and name of the resource to remove, and a resource that refers to it. */
+const referencedResources: readonly [string, string, string][] = [
     ["model", "m", "adapter/a"],
     ["model", "m", "target/t1"],
     ["model", "m", "organisation/o"],
@@ -246,8 +246,8 @@
     });
 }
 
-for (const [kind, name, holder] of heldBack) {
-    test(`refuses to remove ${kind} ${name} under ${holder}`, () => {
+for (const [kind, name, holder] of referencedResources) {
+    test(`refuses to remove ${kind} ${name} while ${holder} refers to it`, () => {
         const found = validateChanges(site(goodSite), [{ kind: kind as "model", name }]);
         const match = found.find(one => one.message.startsWith(holder));
         assert.equal(match?.code, resourceCodes.stillReferenced);
@@ -255,7 +255,7 @@
     });
 }
 
-test("accepts a whole site in one change", () => {
+test("accepts a complete site in one change", () => {
     assert.deepEqual(check(site([]), goodSite), []);
 });
 
@@ -263,7 +263,7 @@
     assert.deepEqual(check(site([free]), goodSite.slice(0, 2)), []);
 });
 
-test("removes a model together with all that refers to it", () => {
+test("removes a model together with all resources that refer to it", () => {
     const keys = ["model/m", "target/t1", "target/t2", "adapter/a", "organisation/o", "credential/c"];
     const changes = keys.map(key => key.split("/")).map(([kind, name]) => ({
         kind: kind as "model",
@@ -272,7 +272,7 @@
     assert.deepEqual(validateChanges(site(goodSite), changes), []);
 });
 
-test("reports every fault of a change", () => {
+test("reports all errors of a change", () => {
     const found = check(site([]), [edit({ layers: -1, extra: 1 }), { kind: "service", name: "S", spec: {} }]);
     assert.deepEqual(found.map(one => one.path).sort(), ["name", "spec.extra", "spec.layers"]);
 });
--- a/packages/config/src/lib/validation/validateChanges.ts
+++ b/packages/config/src/lib/validation/validateChanges.ts
@@ -6,12 +6,12 @@
 import { type DesiredChange } from "./parseDesired.js";
 import {
     adapterReferences,
-    blockRemoval,
     credentialReferences,
+    findReferrers,
     modelReferences,
     organisationReferences,
     placementReferences,
-    referrers,
+    removalFailures,
     targetReferences,
 } from "./referenceRules.js";
 import { type ResourceFailure, type ResourceView, type Rule, withResource } from "./ResourceFailure.js";
@@ -27,11 +27,11 @@
 };
 
 /**
- * Checks changes against all resources as they would be afterwards.
+ * Checks changes against the state of all resources after the changes.
  *
  * @param before - The resources in force.
- * @param changes - Changes that take effect together.
- * @returns Every fault, each with its resource and field; empty when the changes may be accepted.
+ * @param changes - Changes that take effect atomically.
+ * @returns All failures, each with its resource and field; empty if the changes are valid.
  * @public
  */
 export function validateChanges(before: ResourceView, changes: readonly DesiredChange[]): ResourceFailure[] {
@@ -39,12 +39,12 @@
     const repeated = repeatedChanges(changes);
     return repeated.length > 0 ? repeated : [
         ...changes.flatMap(change => checkChange(change, after)),
-        ...dependents(changes, after).flatMap(resource => checkResource(resource, after)),
+        ...findDependents(changes, after).flatMap(resource => checkResource(resource, after)),
     ];
 }
 
 /**
- * The resources as they would be after some changes.
+ * A view of the resources after some changes.
  *
  * @internal
  */
@@ -74,7 +74,7 @@
     if (resource !== undefined) {
         return checkResource(resource, after);
     }
-    return withResource(blockRemoval(change.kind, change.name, after), resourceKey(change.kind, change.name));
+    return withResource(removalFailures(change.kind, change.name, after), resourceKey(change.kind, change.name));
 }
 
 function checkResource(resource: Resource, after: ResourceView): ResourceFailure[] {
@@ -83,11 +83,11 @@
     return withResource(failures, resourceKey(resource.kind, resource.name));
 }
 
-/** Resources that refer to a changed model and are not changed themselves: a smaller model can break their ranges. */
-function dependents(changes: readonly DesiredChange[], after: ResourceView): Resource[] {
+/** Unchanged resources that refer to a changed model, whose ranges may be invalid if the model has fewer layers now. */
+function findDependents(changes: readonly DesiredChange[], after: ResourceView): Resource[] {
     const changedKeys = new Set(changes.map(change => resourceKey(change.kind, change.name)));
     const models = changes.filter(change => change.kind === "model" && change.spec !== undefined);
-    const keys = new Set(models.flatMap(change => referrers("model", change.name, after)));
+    const keys = new Set(models.flatMap(change => findReferrers("model", change.name, after)));
     return [...after.list("target"), ...after.list("adapter")].filter(one => {
         const key = resourceKey(one.kind, one.name);
         return keys.has(key) && !changedKeys.has(key);
@@ -98,7 +98,9 @@
     const seen = new Set<string>();
     const keys = changes.map(change => resourceKey(change.kind, change.name));
     return keys.filter(key => seen.size === seen.add(key).size).map(key => ({
-        ...failure(resourceCodes.invalidField, "the resource appears twice in one change", { path: "name" }),
+        ...failure(resourceCodes.invalidField, "the resource appears more than once in the same change", {
+            path: "name",
+        }),
         resource: key,
     }));
 }
