--- a/packages/config/src/lib/store/ResourceStore.test.ts
+++ b/packages/config/src/lib/store/ResourceStore.test.ts
@@ -28,7 +28,7 @@
         });
     }
 
-    /** Sends a change and lets time pass until it ends. */
+    /** Sends a change and advances the clock until it ends. */
     async apply(store: ResourceStore, changes: DesiredChange[], changeId?: string, dryRun = false) {
         return this.settle(store.apply(changes, { changeId: changeId ?? `change-${this.changes++}`, dryRun }));
     }
@@ -42,11 +42,11 @@
         return work;
     }
 
-    /** A state read afresh from the store. */
-    async fresh(): Promise<RevisionState> {
+    /** Reads a new state from the store. */
+    async readState(): Promise<RevisionState> {
         const state = new RevisionState();
-        const offer = await new StoreLog(this.table).advance(state);
-        assert(offer.isOk);
+        const result = await new StoreLog(this.table).advance(state);
+        assert(result.isOk);
         return state;
     }
 }
@@ -58,7 +58,7 @@
     assert.equal(revisionOf(first), 1);
     const second = await site.apply(store, [{ ...service("a", 5), resourceVersion: 1 }]);
     assert.equal(revisionOf(second), 2);
-    const state = await site.fresh();
+    const state = await site.readState();
     assert.equal(state.get("service", "a")?.resourceVersion, 2);
     assert.equal(state.get("service", "b")?.resourceVersion, 1);
     assert.equal(site.effects.length, 2);
@@ -70,12 +70,12 @@
     await site.apply(site.store(), [service("a", 7)]);
     const late = await site.apply(site.store(), [{ ...service("a", 8), resourceVersion: 1 }, service("b")]);
     assert.deepEqual(codesOf(late), [resourceCodes.conflict]);
-    const state = await site.fresh();
+    const state = await site.readState();
     assert.equal(state.get("service", "a")?.spec.timeout, 7);
     assert.equal(state.get("service", "b"), undefined);
 });
 
-test("creating what exists and removing what does not are refused", async () => {
+test("creating an existing resource and removing a missing one are refused", async () => {
     const site = new Site();
     const store = site.store();
     await site.apply(store, [service("a")]);
@@ -86,7 +86,7 @@
     assert.deepEqual(codesOf(removal), [resourceCodes.noSuchResource]);
 });
 
-test("an equal spec and a dry run raise no revision", async () => {
+test("an unchanged spec and a dry run create no revision", async () => {
     const site = new Site();
     const store = site.store();
     await site.apply(store, [service("a")]);
@@ -97,7 +97,7 @@
     assert(dry.isOk);
     assert.deepEqual(dry.value.results.map(one => one.action), ["updated", "created"]);
     assert.deepEqual(dry.value.results[0]?.fields, [{ path: "spec.timeout", before: 1, after: 9 }]);
-    assert.equal((await site.fresh()).revision, 1);
+    assert.equal((await site.readState()).revision, 1);
 });
 
 test("a lost answer after the effect is a success, once", async () => {
@@ -105,23 +105,23 @@
     site.table.faults.set({ losesAfter: 1 });
     const outcome = await site.apply(site.store(), [{ ...service("a"), resourceVersion: 0 }]);
     assert.equal(revisionOf(outcome), 1);
-    assert.equal((await site.fresh()).revision, 1);
+    assert.equal((await site.readState()).revision, 1);
 });
 
-test("a change sent again under its id is answered from the store, also by another process", async () => {
+test("a change repeated with its ID gets its original result, also from another process", async () => {
     const site = new Site();
     const change = { ...service("a"), resourceVersion: 0 };
     await site.apply(site.store(), [change], "same");
     await site.apply(site.store(), [service("a", 3)]);
     const again = await site.apply(site.store(), [change], "same");
     assert.equal(revisionOf(again), 1);
-    assert.equal((await site.fresh()).get("service", "a")?.spec.timeout, 3);
+    assert.equal((await site.readState()).get("service", "a")?.spec.timeout, 3);
 });
 
-test("a copy of a transaction that arrives after the store denied it is applied at most once", async () => {
+test("a delayed transaction that the store reported as not applied takes effect at most once", async () => {
     const site = new Site();
     const { table, clock } = site;
-    const late: TableStore = {
+    const delayedTable: TableStore = {
         era: table.era,
         get: key => table.get(key),
         scan: (prefix, after, limit) => table.scan(prefix, after, limit),
@@ -131,19 +131,19 @@
             return Result.err(failure(platformCodes.storeUnknown, "delayed"));
         },
     };
-    const outcome = await site.apply(site.store({ log: new StoreLog(late) }), [{
+    const outcome = await site.apply(site.store({ log: new StoreLog(delayedTable) }), [{
         ...service("a"),
         resourceVersion: 0,
     }]);
     await clock.advanceAsync(2000);
     assert.equal(revisionOf(outcome), 1);
-    assert.equal((await site.fresh()).revision, 1);
+    assert.equal((await site.readState()).revision, 1);
     assert.equal(site.effects.length, 1);
 });
 
-test("a store that stays down gives a numbered answer, and unknown only when it is", async () => {
+test("while the store is down a change ends as unavailable, or as unknown if it may have taken effect", async () => {
     const site = new Site();
-    const store = site.store({ patience: 500 });
+    const store = site.store({ retryTimeout: 500 });
     site.table.faults.set({ down: true });
     assert.deepEqual(codesOf(await site.apply(store, [service("a")])), [platformCodes.storeUnavailable]);
     site.table.faults.set({ down: false, losesAfter: 1, answerDelay: 100 });
@@ -157,9 +157,9 @@
     assert.equal(revisionOf(await site.apply(site.store(), [service("a")], "doubt")), 1);
 });
 
-test("a judgement on stale reads is not given", async () => {
+test("a change is not rejected on the basis of stale reads", async () => {
     const site = new Site();
-    const stale = site.store({ patience: 1000 });
+    const stale = site.store({ retryTimeout: 1000 });
     site.table.faults.set({ stale: true });
     await site.apply(stale, [service("x")]);
     site.table.faults.set({ stale: true });
@@ -169,7 +169,7 @@
     assert.equal(revisionOf(await site.apply(stale, [{ ...service("x", 2), resourceVersion: 1 }])), 2);
 });
 
-test("the log keeps its length and a newcomer reads rows and entries to the same digest", async () => {
+test("the log keeps its length, and a new process derives the same digest from rows and entries", async () => {
     const site = new Site();
     const store = site.store({ retainedEntries: 3 });
     const witness = new RevisionState();
@@ -182,14 +182,14 @@
     const rows = await site.table.scan("config/log/", "", 100);
     assert(rows.isOk);
     assert.equal(rows.value.length, 3);
-    const state = await site.fresh();
+    const state = await site.readState();
     await new StoreLog(site.table).advance(witness);
     assert.deepEqual([state.revision, witness.revision], [10, 10]);
     assert.deepEqual([state.content, state.digest], [witness.content, witness.digest]);
     assert.equal(state.list("service").length, 4);
 });
 
-test("a change of many resources reads pages instead of single rows, and still refuses rows read late", async () => {
+test("a change of many resources reads pages instead of single rows, and still refuses stale rows", async () => {
     const site = new Site();
     const store = site.store();
     const many = Array.from({ length: 600 }, (_unused, index) => service(`s${index}`));
@@ -207,11 +207,11 @@
             value: { kind: "service", name: "s9", spec: {}, resourceVersion: 1 },
         }],
     });
-    const refused = await site.apply(site.store({ patience: 200 }), many);
+    const refused = await site.apply(site.store({ retryTimeout: 200 }), many);
     assert.deepEqual(codesOf(refused), [platformCodes.storeUnavailable]);
 });
 
-interface Move {
+interface OperatorChange {
     readonly operator: number;
     readonly resource: number;
     readonly timeout: number;
@@ -219,7 +219,7 @@
     readonly remove: boolean;
 }
 
-const moves: fc.Arbitrary<Move> = fc.record({
+const operatorChanges: fc.Arbitrary<OperatorChange> = fc.record({
     operator: fc.nat(2),
     resource: fc.nat(1),
     timeout: fc.integer({ min: 1, max: 9 }),
@@ -237,13 +237,13 @@
 
 test("racing operators under faults: every change at most once, every answer true", async () => {
     await fc.assert(
-        fc.asyncProperty(fc.array(fc.tuple(moves, faults), { minLength: 2, maxLength: 12 }), async steps => {
+        fc.asyncProperty(fc.array(fc.tuple(operatorChanges, faults), { minLength: 2, maxLength: 12 }), async steps => {
             const site = new Site();
-            const operators = [0, 1, 2].map(seed => site.store({ random: seededRandom(seed), patience: 1500 }));
+            const operators = [0, 1, 2].map(seed => site.store({ random: seededRandom(seed), retryTimeout: 1500 }));
             const outcomes: Promise<ChangeOutcome>[] = [];
-            for (const [index, [move, fault]] of steps.entries()) {
+            for (const [index, [change, fault]] of steps.entries()) {
                 site.table.faults.set(fault);
-                outcomes.push(operators[move.operator]!.apply([toChange(move)], { changeId: `c${index}` }));
+                outcomes.push(operators[change.operator]!.apply([toChange(change)], { changeId: `c${index}` }));
                 await site.clock.advanceAsync(30);
             }
             await site.clock.advanceAsync(200);
@@ -263,7 +263,7 @@
 });
 
 async function checkEnd(site: Site, outcomes: readonly ChangeOutcome[]): Promise<void> {
-    const state = await site.fresh();
+    const state = await site.readState();
     const entries = state.since(0) ?? [];
     assert.equal(new Set(site.effects).size, site.effects.length, "a write id took effect twice");
     outcomes.forEach((outcome, index) => {
@@ -278,7 +278,7 @@
     });
 }
 
-function toChange({ resource, timeout, conditional, remove }: Move): DesiredChange {
+function toChange({ resource, timeout, conditional, remove }: OperatorChange): DesiredChange {
     const change = remove ? { kind: "service" as const, name: `r${resource}` } : service(`r${resource}`, timeout);
     return conditional ? { ...change, resourceVersion: timeout % 3 } : change;
 }
--- a/packages/config/src/lib/store/ResourceStore.ts
+++ b/packages/config/src/lib/store/ResourceStore.ts
@@ -19,20 +19,20 @@
 import { type ResourceFailure } from "../validation/ResourceFailure.js";
 import { type ChangeResult, planChanges } from "./planChanges.js";
 import {
-    askedDigest,
     buildTransaction,
     changeKey,
     type ChangeRow,
     changeRowSchema,
-    unknownAsked,
+    requestDigest,
+    unknownRequestDigest,
     withoutFields,
 } from "./transaction.js";
 
-const defaultPatience = 8000;
+const defaultRetryTimeout = 8000;
 const defaultRetainedEntries = 4096;
 const firstPause = 20;
 const longestPause = 1000;
-const headReads = 4;
+const maxHeadReads = 4;
 
 /**
  * Options of {@link ResourceStore}.
@@ -41,39 +41,40 @@
  */
 export interface ResourceStoreOptions {
     readonly log: StoreLog;
-    /** The state that is kept in step with the store; usually the one in force in this process. */
+    /** The state that is kept synchronised with the store; usually the one in force in this process. */
     readonly state: RevisionState;
     readonly clock: Clock;
     readonly random: Random;
     readonly record?: HistoryRecorder;
-    /** Runs after each change that this process accepted, so that it can be told to others at once. */
+    /** Runs after each change that this process accepted, so that it can be sent to other processes immediately. */
     readonly onAccepted?: (entry: LogEntry) => void;
     /**
-     * Finds the highest revision that any process has in force; fails unless each has answered. It is asked once in each era of the
-     * store, since a copy may lack changes that only other processes know. By default there are no others.
+     * Finds the highest revision in force in any process; fails unless each process has answered. It is called once per
+     * store era, because a store restored from a copy may lack changes that only other processes have. By default, no
+     * other processes are assumed.
      */
     readonly findNewest?: () => Promise<Outcome<number>>;
-    /** Milliseconds for which a change is tried while the store fails. */
-    readonly patience?: number;
-    /** How many log entries the store keeps; each new entry removes the one that falls out. */
+    /** Milliseconds for which a change is retried while the store fails. */
+    readonly retryTimeout?: number;
+    /** The number of log entries that the store retains; each new entry removes the oldest one beyond this number. */
     readonly retainedEntries?: number;
 }
 
 /**
- * A change that was accepted, or one that would be.
+ * The result of an accepted change or of a dry run.
  *
  * @public
  */
 export interface Accepted {
-    /** The revision that holds the change, or the current one when nothing was changed. */
+    /** The revision that holds the change, or the current one if nothing was changed. */
     readonly revision: number;
-    /** The id under which the change can be asked for again. */
+    /** The ID under which the request can be repeated. */
     readonly changeId: string;
     readonly results: readonly ChangeResult[];
 }
 
 /**
- * What came of a change: accepted, or every reason against it.
+ * The outcome of a change: accepted, or all reasons for its rejection.
  *
  * @public
  */
@@ -85,29 +86,30 @@
  * @public
  */
 export interface ApplyOptions {
-    /** Unique for each change. Sending a change again under its id never applies it twice. */
+    /** Unique for each change. A change that is sent again with its ID is not applied twice. */
     readonly changeId: string;
-    /** Checks everything, and writes nothing. */
+    /** Validates the change without writing anything. */
     readonly dryRun?: boolean;
-    /** Versions that other rows of the store must have for the change to take effect, such as a duty's fence row. */
+    /** Required versions of other rows of the store, such as the fencing row of a duty. */
     readonly conditions?: Transaction["conditions"];
 }
 
-/** One change on its way, over all its attempts. */
+/** A change in progress, across all its attempts. */
 interface Attempt extends ApplyOptions {
     readonly changes: readonly DesiredChange[];
     readonly deadline: number;
     count: number;
-    /** True once a transaction was sent whose outcome is not known. */
+    /** True once a transaction with an unknown outcome was sent. */
     inDoubt: boolean;
 }
 
-/** What a step decided: the end of the change, or a reason to try again. */
+/** The result of one attempt: the final outcome, or the reason for a retry. */
 type Step = { readonly done: ChangeOutcome; } | { readonly retry: Failure; };
 
 /**
- * Accepts changes of resources. Each is one transaction over the resources' rows, a new row of the log and the head
- * row. The head row's condition puts all changes in one order, so each is checked against exactly the state it follows.
+ * Accepts changes of resources. Each change is one transaction over the rows of its resources, a new log row and the
+ * head row. The condition on the head row serialises all changes, so each is validated against exactly the state that
+ * it follows.
  *
  * @public
  */
@@ -119,13 +121,13 @@
     private readonly record: HistoryRecorder;
     private readonly onAccepted: (entry: LogEntry) => void;
     private readonly findNewest: () => Promise<Outcome<number>>;
-    /** The era of the store in which the state was found to be the newest. */
-    private newestEra = 0;
-    private readonly patience: number;
+    /** The store era in which no other process was found to have a newer revision in force. */
+    private confirmedEra = 0;
+    private readonly retryTimeout: number;
     private readonly retainedEntries: number;
-    /** Changes that ended as unknown; when one shows up in the log after all, that is recorded. */
+    /** Changes that ended with an unknown outcome. If one appears in the log later, its acceptance is recorded. */
     private readonly inDoubt = new Set<string>();
-    /** Changes of this process wait for one another, so that they do not race for the head row. */
+    /** Serialises the changes of this process, so that they do not compete for the head row. */
     private queue: Promise<unknown> = Promise.resolve();
 
     constructor(options: ResourceStoreOptions) {
@@ -136,20 +138,20 @@
         this.record = options.record ?? (() => undefined);
         this.onAccepted = options.onAccepted ?? (() => undefined);
         this.findNewest = options.findNewest ?? (() => Promise.resolve(Result.ok(0)));
-        this.patience = options.patience ?? defaultPatience;
+        this.retryTimeout = options.retryTimeout ?? defaultRetryTimeout;
         this.retainedEntries = options.retainedEntries ?? defaultRetainedEntries;
-        this.state.onChange(revision => this.recordDoubtful(revision));
+        this.state.onChange(revision => this.recordInDoubt(revision));
     }
 
     /**
-     * Accepts changes together or not at all.
+     * Accepts changes atomically.
      *
-     * @returns The revision, or the reasons: faults of the input, `conflict` when a resource has another version than
-     * the one given, `storeUnavailable` when nothing was written, `storeUnknown` when the change may have been accepted
-     * and asking again under the same id will tell.
+     * @returns The revision, or the reasons for the rejection: validation failures, `conflict` if a resource has
+     * another version than expected, `storeUnavailable` if nothing was written, or `storeUnknown` if the change may
+     * have been accepted; repeating the request with the same ID then gives the final outcome.
      */
     apply(changes: readonly DesiredChange[], options: ApplyOptions): Promise<ChangeOutcome> {
-        const deadline = this.clock.now() + this.patience;
+        const deadline = this.clock.now() + this.retryTimeout;
         const attempt: Attempt = { ...options, changes, deadline, count: 0, inDoubt: false };
         const result = this.queue.then(() => this.run(attempt));
         this.queue = result.catch(() => undefined);
@@ -165,12 +167,12 @@
             if (this.clock.now() >= attempt.deadline) {
                 return Result.err([this.giveUp(attempt, step.retry)]);
             }
-            await sleep(this.clock, this.pause(attempt.count));
+            await sleep(this.clock, this.backoff(attempt.count));
             attempt.count++;
         }
     }
 
-    private pause(count: number): number {
+    private backoff(count: number): number {
         const limit = Math.min(longestPause, firstPause * 2 ** Math.min(count, 10));
         return limit * (0.5 + this.random.next() / 2);
     }
@@ -189,7 +191,7 @@
             return { retry: earlier.error };
         }
         if (earlier.value !== undefined) {
-            return { done: this.repeated(earlier.value, attempt) };
+            return { done: this.answerRepeat(earlier.value, attempt) };
         }
         const plan = planChanges(this.state, attempt.changes);
         if (plan.isErr) {
@@ -204,9 +206,9 @@
         return this.commit(nextEntry(this.state, changes, ids), head.value, attempt, results);
     }
 
-    /** Brings the state exactly up to the head row, since a change must follow the state that it was checked against. */
+    /** Synchronises the state with the head row, because a change must follow the state it was validated against. */
     private async synchronise(): Promise<Outcome<HeadRow>> {
-        for (let read = 0; read < headReads; read++) {
+        for (let read = 0; read < maxHeadReads; read++) {
             const head = await this.log.head();
             if (
                 head.isErr || (head.value.revision === this.state.revision && head.value.digest === this.state.digest)
@@ -221,10 +223,10 @@
         return Result.err(failure(platformCodes.storeUnavailable, "the head of the log moved or was read late"));
     }
 
-    /** Makes sure that no process has a change in force which a copy of the store lacks and this process has not heard of. */
+    /** Checks once per store era that no process has changes in force that the store and this process lack. */
     private async confirmNewest(): Promise<Outcome<void>> {
         const { era } = this.log.store;
-        if (era === this.newestEra) {
+        if (era === this.confirmedEra) {
             return Result.ok<void, never>(undefined);
         }
         const newest = await this.findNewest();
@@ -232,15 +234,20 @@
             return Result.err(newest.error);
         }
         if (newest.value > this.state.revision) {
-            return Result.err(failure(platformCodes.storeUnavailable, "a later change is being written again"));
+            return Result.err(
+                failure(
+                    platformCodes.storeUnavailable,
+                    "another process has a newer revision in force that is not restored to the store yet",
+                ),
+            );
         }
-        this.newestEra = era;
+        this.confirmedEra = era;
         return Result.ok<void, never>(undefined);
     }
 
     /**
-     * Ends a change that writes nothing. Reads may be stale, but conditions see the truth: a transaction without writes
-     * proves that the judgement was made on the newest state.
+     * Ends a change that writes nothing. Reads may be stale, but conditions are always checked against the newest rows,
+     * so a transaction without writes proves that the outcome is based on the newest state.
      */
     private async confirm(head: HeadRow, attempt: Attempt, outcome: ChangeOutcome): Promise<Step> {
         const committed = await this.log.store.commit({
@@ -271,11 +278,11 @@
             return { retry: expired.error };
         }
         const { revision, writeId } = entry;
-        const row = { revision, writeId, asked: askedDigest(attempt.changes), results: results.map(withoutFields) };
+        const row = { revision, writeId, asked: requestDigest(attempt.changes), results: results.map(withoutFields) };
         const built = buildTransaction(entry, row, head, versions.value, expired.value);
         const transaction = { ...built, conditions: [...built.conditions, ...attempt.conditions ?? []] };
         const committed = await this.log.store.commit(transaction);
-        const certain = committed.isOk ? committed : await this.resolve(transaction, committed.error, attempt);
+        const certain = committed.isOk ? committed : await this.resolveCommit(transaction, committed.error, attempt);
         if (certain.isErr) {
             return { retry: certain.error };
         }
@@ -284,7 +291,7 @@
         return { done: this.accepted({ ...row, results }, attempt.changeId) };
     }
 
-    /** The rows that fall out of the log with a new revision: the oldest entry, and the row of its change. */
+    /** The rows that expire with a new revision: the oldest log entry and the row of its change. */
     private async expiredKeys(revision: number): Promise<Outcome<string[]>> {
         const expired = revision - this.retainedEntries;
         if (expired <= 0) {
@@ -298,11 +305,11 @@
     }
 
     /**
-     * Finds out whether a transaction with a lost answer took effect. When the store says that it did not, a delayed
-     * copy of it may still arrive; but every later transaction of this change names the same head row and the same
-     * change row in its conditions, so only one of them can take effect.
+     * Finds out whether a transaction took effect whose response was lost. Even if the store reports that it did not, a
+     * delayed copy may still arrive. But all later transactions of this change have conditions on the same head row and
+     * the same change row, so only one of them can take effect.
      */
-    private async resolve({ writeId }: Transaction, error: Failure, attempt: Attempt): Promise<Outcome<true>> {
+    private async resolveCommit({ writeId }: Transaction, error: Failure, attempt: Attempt): Promise<Outcome<true>> {
         if (error.code !== platformCodes.storeUnknown) {
             return Result.err(error);
         }
@@ -311,7 +318,7 @@
         return found.andThen(versions => versions === undefined ? Result.err(error) : Result.ok(true));
     }
 
-    /** The store's versions of the rows that an entry changes, if the rows are those that the state knows. */
+    /** Reads the row versions of the resources that an entry changes, and checks that the rows match the state. */
     private async rowVersions(entry: LogEntry): Promise<Outcome<Map<string, number>>> {
         const keys = entry.changes.map(({ kind, name }) => resourceKey(kind, name));
         const rows = await this.log.resourceRows(keys);
@@ -321,7 +328,9 @@
                 const key = resourceRowKey(resourceKey(kind, name));
                 const row = found.get(key) ?? { key, value: undefined, version: 0 };
                 if (!matches(row, this.state.get(kind, name)?.resourceVersion)) {
-                    return Result.err(failure(platformCodes.storeUnavailable, "a resource's row was read late"));
+                    return Result.err(
+                        failure(platformCodes.storeUnavailable, "the row of a resource was stale when it was read"),
+                    );
                 }
                 versions.set(key, row.version);
             }
@@ -337,11 +346,12 @@
                 "the change may have been accepted; ask again under the same id",
             );
         }
-        const reason = last.code === platformCodes.conditionFailed ? "too many changes race for the log" : last.message;
+        const reason = last.code === platformCodes.conditionFailed ? "too many concurrent changes" : last.message;
         return failure(platformCodes.storeUnavailable, `nothing was written: ${reason}`);
     }
 
-    private recordDoubtful(revision: number): void {
+    /** Records the acceptance of changes with an unknown outcome that are in the log after all. */
+    private recordInDoubt(revision: number): void {
         if (this.inDoubt.size === 0) {
             return;
         }
@@ -352,9 +362,9 @@
         }
     }
 
-    /** Answers a change that was accepted earlier, unless its id now stands for something else. */
-    private repeated(row: ChangeRow, { changeId, changes }: Attempt): ChangeOutcome {
-        return row.asked === unknownAsked || row.asked === askedDigest(changes)
+    /** Returns the outcome of a change that was accepted earlier, unless its ID is now used for another change. */
+    private answerRepeat(row: ChangeRow, { changeId, changes }: Attempt): ChangeOutcome {
+        return row.asked === unknownRequestDigest || row.asked === requestDigest(changes)
             ? this.accepted(row, changeId)
             : Result.err([failure(requestCodes.keyReused, "the id of this change was used for another change")]);
     }
--- a/packages/config/src/lib/store/diffFields.ts
+++ b/packages/config/src/lib/store/diffFields.ts
@@ -1,25 +1,25 @@
 import { canonicalJson } from "../revisions/digest.js";
 
 /**
- * One field that differs between two specs.
+ * A field that differs between two specs.
  *
  * @public
  */
 export interface FieldChange {
-    /** The field, as a dotted path. */
+    /** The dotted path of the field. */
     readonly path: string;
-    /** Absent when the field is new. */
+    /** The old value; absent if the field is new. */
     readonly before?: unknown;
-    /** Absent when the field is removed. */
+    /** The new value; absent if the field is removed. */
     readonly after?: unknown;
 }
 
-/** Fields that answers and logs never show. */
+/** Fields whose values must not appear in responses or logs. */
 const secretFields = new Set(["tokenHash"]);
 const hidden = "(hidden)";
 
 /**
- * Lists the fields that differ between two values. Arrays are compared as wholes.
+ * Lists the fields that differ between two values. An array is compared as a single value.
  *
  * @internal
  */
@@ -35,9 +35,9 @@
 }
 
 /**
- * Replaces secret fields, for answers and logs.
+ * Replaces the values of secret fields, for responses and logs.
  *
- * @param path - Where the value stands; its last part is the field's name.
+ * @param path - The dotted path of the value; its last part is the name of the field.
  * @internal
  */
 export function hideSecrets(value: unknown, path = ""): unknown {
--- a/packages/config/src/lib/store/planChanges.ts
+++ b/packages/config/src/lib/store/planChanges.ts
@@ -9,7 +9,7 @@
 import { diffFields, type FieldChange } from "./diffFields.js";
 
 /**
- * What a change does, or would do, to one resource.
+ * The effect of a change, or of its dry run, on one resource.
  *
  * @public
  */
@@ -17,20 +17,20 @@
     readonly kind: Kind;
     readonly name: string;
     readonly action: "created" | "updated" | "deleted" | "unchanged";
-    /** The version before the change; 0 if there was none. */
+    /** The version before the change; 0 if the resource did not exist. */
     readonly resourceVersion: number;
     /** The fields that differ. */
     readonly fields: readonly FieldChange[];
 }
 
-/** The part of a change that needs a new revision, and what it does to each resource. @internal */
+/** The changes that need a new revision, and the result for each resource of the request. @internal */
 export interface Plan {
     readonly changes: readonly Change[];
     readonly results: readonly ChangeResult[];
 }
 
 /**
- * Checks changes against a state and leaves out those that change nothing.
+ * Validates changes against a state and omits those without effect.
  *
  * @internal
  */
@@ -55,7 +55,7 @@
     const current = state.get(kind, name)?.resourceVersion ?? 0;
     const failures: Failure[] = [];
     if (resourceVersion !== undefined && resourceVersion !== current) {
-        const message = `the resource has version ${current}, not ${resourceVersion}`;
+        const message = `the resource has version ${current}, but the request expects ${resourceVersion}`;
         failures.push(failure(resourceCodes.conflict, message, { path: "resourceVersion" }));
     }
     else if (spec === undefined && current === 0) {
--- a/packages/config/src/lib/store/restoreEntries.ts
+++ b/packages/config/src/lib/store/restoreEntries.ts
@@ -4,11 +4,12 @@
 import { type HeadRow, resourceRowKey } from "../revisions/logRows.js";
 import { type RevisionState } from "../revisions/RevisionState.js";
 import { type StoreLog } from "../revisions/StoreLog.js";
-import { buildTransaction, unknownAsked } from "./transaction.js";
+import { buildTransaction, unknownRequestDigest } from "./transaction.js";
 
 /**
- * Writes the entries again that a state has and the store's log lacks, as after the store came back from a copy. Nothing is written
- * unless the log is a beginning of the state's own, or when another process writes at the same moment.
+ * Writes entries that a state has in force and the store's log lacks back to the store, as after the store was restored
+ * from an older copy. Nothing is written unless the log is a prefix of the state's log. Restoring fails if another
+ * process writes concurrently.
  *
  * @internal
  */
@@ -23,7 +24,12 @@
         }
         const [entry] = state.since(head.value.revision, head.value.digest) ?? [];
         if (entry === undefined) {
-            return Result.err(failure(platformCodes.storeUnavailable, "the store's log is not the one in force here"));
+            return Result.err(
+                failure(
+                    platformCodes.storeUnavailable,
+                    "the store's log is not a prefix of the log in force in this process",
+                ),
+            );
         }
         const written = await restoreEntry(log, entry, head.value);
         if (written.isErr) {
@@ -40,7 +46,7 @@
         return Result.err(rows.error);
     }
     const versions = new Map(keys.map(resourceRowKey).map(key => [key, rows.value.get(key)?.version ?? 0]));
-    const change = { revision, writeId, asked: unknownAsked, results: [] };
+    const change = { revision, writeId, asked: unknownRequestDigest, results: [] };
     const transaction = buildTransaction(entry, change, head, versions, []);
     const committed = await log.store.commit({ ...transaction, writeId: uniqueId() });
     return committed.map(() => undefined);
--- a/packages/config/src/lib/store/storeCopy.test.ts
+++ b/packages/config/src/lib/store/storeCopy.test.ts
@@ -8,7 +8,7 @@
 import { type DesiredChange, parseDesired } from "../validation/parseDesired.js";
 import { ResourceStore } from "./ResourceStore.js";
 
-/** A process that reads the log, and accepts changes. */
+/** A process that reads the log and accepts changes. */
 class Process {
     readonly state = new RevisionState();
     readonly log: StoreLog;
@@ -41,7 +41,7 @@
         return process;
     }
 
-    /** Sends a change, and tells the revision that holds it. */
+    /** Sends a change and returns the revision that holds it, or undefined if it was not accepted. */
     async apply({ store }: Process, name: string, changeId = uniqueId()): Promise<number | undefined> {
         const change = serviceNamed(name);
         const accepted = await this.settle(store.apply([change], { changeId }));
@@ -57,7 +57,7 @@
         return work;
     }
 
-    /** The services that a process which starts now finds in the store. */
+    /** The services that a newly started process reads from the store. */
     async services(): Promise<readonly string[]> {
         const { state, log } = this.process();
         assert.ok((await this.settle(log.advance(state))).isOk);
@@ -65,7 +65,8 @@
     }
 }
 
-// A process that started after the copy was used went back to the configuration before the change.
+// Guards against a process that starts after the store was restored from a copy and loads the configuration from before
+// the lost changes.
 test("a change that a copy of the store lacks is written again by a process in which it is in force", async () => {
     const site = new Site();
     const writer = site.process();
@@ -80,8 +81,9 @@
     assert.deepEqual(await site.services(), ["lost", "lost-too", "old"]);
 });
 
-// The store's log was behind the state in force for good, so that every change was refused.
-test("changes are accepted again after the store came back from a copy", async () => {
+// Guards against a store whose log stays behind the state in force after it was restored from a copy, so that every
+// change is refused.
+test("changes are accepted again after the store was restored from a copy", async () => {
     const site = new Site();
     const writer = site.process();
     await site.apply(writer, "old");
@@ -90,10 +92,14 @@
     restore();
     assert.equal(await site.apply(writer, "new"), 3);
     assert.deepEqual(await site.services(), ["lost", "new", "old"]);
-    assert.equal(await site.apply(site.process(), "lost", "change-1"), 2, "a repeat finds its own change");
+    assert.equal(
+        await site.apply(site.process(), "lost", "change-1"),
+        2,
+        "a repeated request gets the original result",
+    );
 });
 
-test("copies of the store at any moment take no change back that a process has in force", async () => {
+test("restoring the store from a copy at any moment reverts no change that a process has in force", async () => {
     for (let seed = 1; seed <= 40; seed++) {
         const random = seededRandom(seed);
         const site = new Site();
@@ -106,7 +112,7 @@
             const revision = await site.apply(process, `s${step}`);
             assert.ok(revision !== undefined, `seed ${seed}`);
             accepted.push(`s${step}`);
-            // Every process learns of a change within seconds, and a drill takes longer than that.
+            // Every process receives a change within seconds, and restoring the store takes longer than that.
             await site.settle(Promise.all(processes.map(({ log, state }) => log.advance(state))));
             if (random.below(4) === 0) {
                 restore = site.table.saveCopy();
@@ -120,7 +126,8 @@
     }
 });
 
-// It has not heard of the change, and is asked for another one before a process that has it reads the store again.
+// Guards against a process without the lost change that accepts another change under the same revision before a process
+// with the lost change reads the store again.
 test("a process that lacks a lost change does not put another one in its place", async () => {
     const site = new Site();
     const writer = site.process();
--- a/packages/config/src/lib/store/transaction.ts
+++ b/packages/config/src/lib/store/transaction.ts
@@ -9,11 +9,11 @@
 
 const changePrefix = "config/change/";
 
-/** The row that remembers a change by its id, so that it is never accepted twice. @internal */
+/** The row that records an accepted change under its ID, so that the change is never accepted twice. @internal */
 export const changeRowSchema = z.object({
     revision: z.number().int(),
     writeId: z.string(),
-    /** A digest of what was asked, to tell a repeated request from another one under the same id. */
+    /** A digest of the request, to distinguish a repeated request from another one with the same ID. */
     asked: z.string(),
     results: z.array(z.object({
         kind: kindSchema,
@@ -32,10 +32,15 @@
     readonly results: readonly ChangeResult[];
 }
 
-/** In the place of {@link ChangeRow.asked}, where only the entry of a change was left: any request under its id is a repeat. @internal */
-export const unknownAsked = "";
+/**
+ * The value of {@link ChangeRow.asked} for a change that was restored from its log entry, so that its request is not
+ * known. Any request with the ID of such a change counts as a repeat.
+ *
+ * @internal
+ */
+export const unknownRequestDigest = "";
 
-/** Builds the transaction that accepts an entry. @internal */
+/** Builds the transaction that writes an entry. @internal */
 export function buildTransaction(
     entry: LogEntry,
     row: ChangeRow,
@@ -66,17 +71,17 @@
     };
 }
 
-/** A digest of what was asked. @internal */
-export function askedDigest(changes: readonly DesiredChange[]): string {
+/** The digest of a request, which consists of its changes. @internal */
+export function requestDigest(changes: readonly DesiredChange[]): string {
     return createHash("sha256").update(canonicalJson(changes)).digest("hex");
 }
 
-/** The row key of a change's record. @internal */
+/** The key of the row that records a change. @internal */
 export function changeKey(changeId: string): string {
     return changePrefix + changeId;
 }
 
-/** Old values stay out of the store's record of a change. @internal */
+/** Removes the field differences from a result, so that the record of the change holds no old values. @internal */
 export function withoutFields(result: ChangeResult): ChangeResult {
     return { ...result, fields: [] };
 }
