--- a/packages/config/src/bench/LoopbackSite.ts
+++ b/packages/config/src/bench/LoopbackSite.ts
@@ -14,7 +14,7 @@
 const credentials = { insecure: true } as const;
 const settleTime = 4000;
 
-/** One process of the site: a configuration node with its own sockets. */
+/** A simulated process of the site: a configuration node with its own sockets. */
 export interface LoopbackProcess {
     readonly name: string;
     readonly dataCentre: string;
@@ -22,32 +22,32 @@
     readonly store: ResourceStore;
     readonly membership: Membership;
     readonly close: () => Promise<void>;
-    /** Sockets that this process opened or accepted. */
+    /** Sockets that this process opened. */
     readonly sockets: Set<Socket>;
     /** Runs when a revision is put in force. */
     onApplied: (revision: number) => void;
 }
 
-/** Which process's code runs, so that sockets can be counted for it. */
+/** The sockets of the process whose code is running, so that new sockets are attributed to it. */
 const owner = new AsyncLocalStorage<Set<Socket>>();
 subscribe("net.client.socket", message => owner.getStore()?.add((message as { socket: Socket; }).socket));
 
-/** Many configuration nodes in this process, joined by real TCP links over loopback. */
+/** Many configuration nodes in one operating-system process, connected by real TCP links over loopback. */
 export class LoopbackSite {
     readonly clock = new SystemClock();
     readonly table = new MemoryTableStore({ clock: this.clock });
     readonly liveList = new MemoryLiveList({ clock: this.clock, lag: 1000 });
     readonly processes: LoopbackProcess[] = [];
-    /** Questions between processes that failed. */
+    /** The number of failed calls between processes. */
     failedCalls = 0;
     private changes = 0;
 
     constructor(private readonly options: Partial<ConfigurationNodeOptions> & { readonly offers?: boolean; } = {}) {}
 
     /**
-     * Starts processes, spread over data centres.
+     * Starts processes, distributed over data centres.
      *
-     * @param settle - Milliseconds for them to find their parents.
+     * @param settle - Milliseconds to wait for the processes to find their parents.
      */
     async start(count: number, centres: number, settle = settleTime): Promise<void> {
         const names = Array.from({ length: count }, (_unused, index) => `p${index}`);
@@ -55,7 +55,7 @@
         await sleep(this.clock, settle);
     }
 
-    /** Starts one process; the same name replaces an earlier one. */
+    /** Starts one process. It replaces an earlier process with the same name. */
     async startProcess(name: string, dataCentre: string): Promise<LoopbackProcess> {
         const incarnation = uniqueId();
         const sockets = new Set<Socket>();
@@ -116,7 +116,7 @@
         return created;
     }
 
-    /** Has a process accept a change, and returns its revision. */
+    /** Sends a change to a process and returns its revision. */
     async change(process: LoopbackProcess): Promise<number> {
         const number = this.changes++;
         const spec = { timeout: number + 1, nonIdempotent: [{ method: "POST", path: "/orders/*" }] };
@@ -128,14 +128,14 @@
         return accepted.value.revision;
     }
 
-    /** Bytes that each process sent and received on links that it opened. Each link is counted once, at its opener. */
+    /** Bytes that each process sent and received on links that it opened, so that each link is counted once. */
     linkBytes(): number[] {
         return this.processes.map(({ sockets }) =>
             [...sockets].reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0)
         );
     }
 
-    /** Bytes of each process on every link, those that it accepted included. */
+    /** Bytes that each process sent and received on all its links, including those that it accepted. */
     totalBytes(): number[] {
         const own = this.linkBytes();
         const ports = new Map(this.processes.map((process, index) => [process.membership.self.port, index]));
--- a/packages/config/src/bench/distributionBench.ts
+++ b/packages/config/src/bench/distributionBench.ts
@@ -1,4 +1,5 @@
-// node packages/config/dist/bench/distributionBench.js [reads|traffic|spread|polling|slow|burst|restarts|centre]...
+// Usage: node packages/config/dist/bench/distributionBench.js [PART]..., where PART is one of
+// reads|traffic|spread|polling|slow|burst|restarts|centre. Measures all parts by default.
 import { sleep } from "@waxwingspar/utils";
 import { type LoopbackProcess, LoopbackSite } from "./LoopbackSite.js";
 import { fitLine, mean, quantile } from "./statistics.js";
@@ -39,7 +40,7 @@
     await site.stop();
 }
 
-/** Store reads per second while nothing changes, by number of processes and by number of data centres. */
+/** Measures store reads per second without changes, by number of processes and by number of data centres. */
 async function measureReads(): Promise<void> {
     const bySize = [];
     for (const size of [30, 60, 120, 240, 480]) {
@@ -68,7 +69,7 @@
     return rate;
 }
 
-/** Bytes per second of each process, and processor time, at several rates of change. */
+/** Measures bytes per second and processor time of each process at several rates of change. */
 async function measureTraffic(): Promise<void> {
     for (const [size, rate] of [[60, 0], [120, 0], [240, 0], [480, 0], [240, 0.15], [240, 1], [240, 10]] as const) {
         await withSite(size, 3, async site => {
@@ -113,7 +114,7 @@
     readonly storeDelay?: number;
 }
 
-/** The time from acceptance to in force at each process, over many single changes. */
+/** Measures the time from the acceptance of a change until each process has it in force, over many single changes. */
 async function measureSpread({ title, size, offers, storeDelay = 0 }: SpreadCase): Promise<void> {
     await withSite(size, 3, async site => {
         site.table.faults.set({ delay: storeDelay });
@@ -139,7 +140,7 @@
     }, { offers });
 }
 
-/** Time from acceptance to in force, and bytes, while changes come at ten a second. */
+/** Measures the time from acceptance until in force, and bytes per second, at ten changes per second. */
 async function measureBurst(): Promise<void> {
     await withSite(240, 3, async site => {
         const applied = site.processes.map(() => [] as { revision: number; at: number; }[]);
@@ -172,7 +173,7 @@
     });
 }
 
-/** Milliseconds from the acceptance of a change to its being in force at each process. */
+/** Returns the milliseconds from the acceptance of a change until each process has it in force. */
 async function timeChange(site: LoopbackSite, operator: LoopbackProcess, observed: readonly LoopbackProcess[]) {
     const seen = new Map<string, { revision: number; at: number; }[]>();
     for (const one of observed) {
@@ -190,7 +191,7 @@
     return observed.map(one => Math.max(0, (arrived(one.name) ?? Number.POSITIVE_INFINITY) - accepted));
 }
 
-/** The same while a third of the processes is replaced, at new ports and with nothing of what they knew. */
+/** Measures the same while a third of the processes restarts, on new ports and without their previous state. */
 async function measureRestarts(title: string, groupOf: (index: number) => number): Promise<void> {
     const size = 90;
     await withSite(size, 3, async site => {
--- a/packages/config/src/bench/hangBench.ts
+++ b/packages/config/src/bench/hangBench.ts
@@ -1,4 +1,5 @@
-// node packages/config/dist/bench/hangBench.js : simulated time until the last process has a change in force.
+// Usage: node packages/config/dist/bench/hangBench.js
+// Measures the simulated time until the last process has a change in force.
 import { type SimulatedProcess, SimulatedSite } from "../lib/testing/SimulatedSite.js";
 import { quantile } from "./statistics.js";
 
@@ -8,12 +9,12 @@
 interface HangCase {
     readonly title: string;
     readonly fault: "hang" | "kill";
-    /** How many of the first processes of one data centre are lost, readers first. */
+    /** The number of processes of one data centre that are lost, highest rank first, so readers first. */
     readonly lost: number;
 }
 
 const cases: readonly HangCase[] = [
-    { title: "nobody lost", fault: "hang", lost: 0 },
+    { title: "no process lost", fault: "hang", lost: 0 },
     { title: "one reader hangs", fault: "hang", lost: 1 },
     { title: "both readers hang", fault: "hang", lost: 2 },
     { title: "both readers and four of the next tier hang", fault: "hang", lost: 6 },
@@ -31,7 +32,7 @@
     );
 }
 
-/** Loses the first processes of data centre `a` and has one of `b` accept a change at once. */
+/** Removes the highest-ranked processes of data centre `a` and sends a change to a process of `b` immediately. */
 async function measure({ fault, lost }: HangCase, round: number): Promise<number> {
     const site = new SimulatedSite(["a", "b"], perCentre);
     await site.startAll();
--- a/packages/config/src/bench/scaleBench.ts
+++ b/packages/config/src/bench/scaleBench.ts
@@ -1,4 +1,5 @@
-// node --expose-gc packages/config/dist/bench/scaleBench.js: costs at the size that the letter plans for.
+// Usage: node --expose-gc packages/config/dist/bench/scaleBench.js
+// Measures the cost of membership, distribution tree and state at the planned maximum size of a deployment.
 import { type LiveHost } from "@waxwingspar/stores";
 import { SystemClock } from "@waxwingspar/utils";
 import { chooseParents } from "../lib/distribution/chooseParents.js";
@@ -29,7 +30,7 @@
     const self = { ...hosts[0]!, incarnation: "i" };
     const membership = new Membership({ self, clock });
     const lists = new ListHistory();
-    time("first list taken", 1, () => {
+    time("first list applied", 1, () => {
         lists.update(hosts);
         membership.updateList(hosts);
     });
@@ -42,7 +43,7 @@
         membership.updateList(next);
     });
     time("readers of all data centres after a change", rounds, () => {
-        membership.sawFailure(hosts[200 + turn++]!.process);
+        membership.recordFailure(hosts[200 + turn++]!.process);
         membership.dataCentres().forEach(centre => membership.readers(centre));
     });
     time("readers of all data centres, nothing changed", rounds, () => {
@@ -51,7 +52,7 @@
     print(`  whole list packed: ${pack(hosts).length} bytes`);
 }
 
-/** How many learn from one, and how deep the tiers are, over all processes of one data centre. */
+/** Measures the number of children per parent and the depth of the tiers, over all processes of one data centre. */
 function measureTree(): void {
     for (const fanOut of [4, 6, 8, 16]) {
         const membership = new Membership({ self: { ...hosts[0]!, incarnation: "i" }, clock });
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Resources, the operators' API, revisions and their distribution.
+ * Resources, the operator API, the revision log and the distribution of revisions to all processes.
  *
  * @packageDocumentation
  */
@@ -32,7 +32,12 @@
 } from "./lib/resources/specs.js";
 export { type Change, kinds, type LogEntry, type Snapshot } from "./lib/revisions/LogEntry.js";
 export { headKey } from "./lib/revisions/logRows.js";
-export { nextEntry, type Offer, RevisionState, type RevisionStateOptions } from "./lib/revisions/RevisionState.js";
+export {
+    type ApplyResult,
+    nextEntry,
+    RevisionState,
+    type RevisionStateOptions,
+} from "./lib/revisions/RevisionState.js";
 export { StoreLog } from "./lib/revisions/StoreLog.js";
 export { resource, StaticConfiguration } from "./lib/StaticConfiguration.js";
 export { type FieldChange } from "./lib/store/diffFields.js";
--- a/packages/config/src/lib/distribution/ChangeClient.ts
+++ b/packages/config/src/lib/distribution/ChangeClient.ts
@@ -16,23 +16,23 @@
 import { type NodeContext, type PeerCaller } from "./NodeContext.js";
 import { unpack } from "./packing.js";
 
-/** Milliseconds that an answer may take beyond the time for which it is held back. */
-const answerTimeout = 500;
+/** Milliseconds allowed for a response in addition to the time for which the peer may delay it. */
+const replyMargin = 500;
 const snapshotTimeout = 5000;
-/** Characters of the digest that are sent: 48 bits, enough to notice another log. */
-const sentDigest = 12;
+/** Characters of the digest that are sent: 48 bits, enough to detect a diverged log. */
+const sentDigestLength = 12;
 
-/** What a peer knew when it answered. @internal */
+/** The state of a peer when it responded. @internal */
 export interface PeerState {
     readonly revision: number;
-    /** Milliseconds since the peer was in step with the store; infinite if it never was. */
+    /** Milliseconds since the peer was last synchronised with the store; infinite if it never was. */
     readonly age: number;
-    /** Whether the answer carried entries. */
-    readonly news: boolean;
+    /** Whether the response contained entries. */
+    readonly hasEntries: boolean;
 }
 
 /**
- * Asks one peer at a time for changes, and puts them in force.
+ * Fetches changes from peers and puts them in force.
  *
  * @internal
  */
@@ -44,39 +44,39 @@
     ) {}
 
     /**
-     * Asks for everything after the revision in force.
+     * Fetches all changes after the revision in force.
      *
-     * @param wait - Milliseconds for which the peer may hold the answer back while it has nothing new.
+     * @param wait - Milliseconds for which the peer may delay the response while it has nothing new.
      */
-    async ask(peer: Address, wait: number): Promise<Outcome<PeerState>> {
-        const asked = await this.call(peer, rpcMethods.since, this.params(wait), wait + answerTimeout);
+    async fetchChanges(peer: Address, wait: number): Promise<Outcome<PeerState>> {
+        const asked = await this.call(peer, rpcMethods.since, this.params(wait), wait + replyMargin);
         const answer = asked.andThen(value => parse(sinceAnswerSchema, value));
         if (answer.isErr) {
             return Result.err(answer.error);
         }
-        this.takeList(answer.value);
-        const taken = await this.takeEntries(peer, answer.value);
+        this.applyList(answer.value);
+        const taken = await this.applyEntries(peer, answer.value);
         if (taken.isErr) {
             return Result.err(taken.error);
         }
         const { revision, age = Number.POSITIVE_INFINITY } = answer.value;
         if (this.context.state.revision >= revision) {
-            this.context.synced(age);
+            this.context.markSynced(age);
         }
-        return Result.ok({ revision, age, news: answer.value.entries !== undefined });
+        return Result.ok({ revision, age, hasEntries: answer.value.entries !== undefined });
     }
 
     private params(wait: number): SinceParams {
         const { state, lists, membership } = this.context;
-        const digest = state.digest.slice(0, sentDigest);
+        const digest = state.digest.slice(0, sentDigestLength);
         const listAge = Number.isFinite(membership.listAge) ? { listAge: Math.round(membership.listAge) } : {};
         return { revision: state.revision, digest, list: lists.digest, wait, children: this.children(), ...listAge };
     }
 
-    private async takeEntries(peer: Address, answer: SinceAnswer): Promise<Outcome<true>> {
+    private async applyEntries(peer: Address, answer: SinceAnswer): Promise<Outcome<true>> {
         const { state } = this.context;
         if (answer.snapshot === true) {
-            return this.takeSnapshot(peer);
+            return this.fetchSnapshot(peer);
         }
         if (answer.entries === undefined) {
             return Result.ok(true);
@@ -85,11 +85,11 @@
         if (entries.isErr) {
             return Result.err(entries.error);
         }
-        const offer = state.apply(entries.value);
-        return offer === "gap" || offer === "diverged" ? this.takeSnapshot(peer) : Result.ok(true);
+        const result = state.apply(entries.value);
+        return result === "gap" || result === "diverged" ? this.fetchSnapshot(peer) : Result.ok(true);
     }
 
-    private async takeSnapshot(peer: Address): Promise<Outcome<true>> {
+    private async fetchSnapshot(peer: Address): Promise<Outcome<true>> {
         const resources: Resource[] = [];
         let revision: number | undefined;
         for (;;) {
@@ -112,11 +112,11 @@
     }
 
     private load(snapshot: Snapshot): Outcome<true> {
-        const offer = this.context.state.load(snapshot);
-        return offer === "diverged" ? unreadable("a snapshot whose sum is wrong") : Result.ok(true);
+        const result = this.context.state.load(snapshot);
+        return result === "diverged" ? unreadable("a snapshot that does not match its content sum") : Result.ok(true);
     }
 
-    private takeList({ listAge, list, listChange }: SinceAnswer): void {
+    private applyList({ listAge, list, listChange }: SinceAnswer): void {
         if (listAge === undefined) {
             return;
         }
@@ -128,7 +128,7 @@
             ? parse(listChangeSchema, unpack(listChange ?? "")).map(change => this.context.lists.changed(change))
             : parse(listSchema, unpack(list));
         if (next.isOk) {
-            this.context.takeList(next.value, listAge);
+            this.context.applyList(next.value, listAge);
         }
     }
 }
--- a/packages/config/src/lib/distribution/ChangeServer.ts
+++ b/packages/config/src/lib/distribution/ChangeServer.ts
@@ -7,13 +7,13 @@
 import { type NodeContext } from "./NodeContext.js";
 import { pack } from "./packing.js";
 
-const longestWait = 10_000;
-/** Resources that are packed at once: few enough that it takes a few milliseconds. */
-const partResources = 200;
+const maxWait = 10_000;
+/** Resources per part of a snapshot, few enough that packing a part takes only a few milliseconds. */
+const resourcesPerPart = 200;
 const snapshotLifetime = 60_000;
 
 /**
- * Answers other processes that ask for changes of the configuration and of the live list.
+ * Serves changes of the configuration and of the live list to other processes.
  *
  * @internal
  */
@@ -25,14 +25,14 @@
     readonly since: RpcMethod = async (params, link) => {
         const parsed = sinceParamsSchema.safeParse(params);
         if (!parsed.success) {
-            return Result.err(failure(requestCodes.malformed, "malformed question for changes"));
+            return Result.err(failure(requestCodes.malformed, "malformed request for changes"));
         }
         this.context.membership.sawHello(link.peer);
-        if (parsed.data.wait > 0 && !this.children.heard(parsed.data, link)) {
-            return Result.err(failure(requestCodes.overloaded, "no room for another process to learn from here"));
+        if (parsed.data.wait > 0 && !this.children.acknowledge(parsed.data, link)) {
+            return Result.err(failure(requestCodes.overloaded, "this process cannot serve another child"));
         }
-        if (!this.hasNews(parsed.data) && parsed.data.wait > 0) {
-            await this.waitForNews(parsed.data);
+        if (!this.hasUpdates(parsed.data) && parsed.data.wait > 0) {
+            await this.waitForUpdates(parsed.data);
         }
         return Result.ok(this.answer(parsed.data));
     };
@@ -40,20 +40,20 @@
     readonly snapshot: RpcMethod = async params => {
         const parsed = snapshotParamsSchema.safeParse(params);
         if (!parsed.success) {
-            return Result.err(failure(requestCodes.malformed, "malformed question for a snapshot"));
+            return Result.err(failure(requestCodes.malformed, "malformed request for a snapshot"));
         }
         return Promise.resolve(this.snapshotPart(parsed.data.revision, parsed.data.offset));
     };
 
-    private async waitForNews(params: SinceParams): Promise<void> {
+    private async waitForUpdates(params: SinceParams): Promise<void> {
         const { clock, signal } = this.context;
-        const end = clock.now() + Math.min(params.wait, longestWait);
-        while (clock.now() < end && !this.hasNews(params)) {
+        const end = clock.now() + Math.min(params.wait, maxWait);
+        while (clock.now() < end && !this.hasUpdates(params)) {
             await signal.wait(end - clock.now());
         }
     }
 
-    private hasNews(params: SinceParams): boolean {
+    private hasUpdates(params: SinceParams): boolean {
         return this.context.state.revision > params.revision || this.hasNewerList(params);
     }
 
@@ -89,17 +89,17 @@
     }
 
     private snapshotPart(asked: number | undefined, offset: number): Outcome<unknown> {
-        const snapshot = asked === undefined ? this.takeSnapshot() : this.taken;
+        const snapshot = asked === undefined ? this.currentSnapshot() : this.taken;
         if (snapshot === undefined || (asked !== undefined && snapshot.revision !== asked)) {
             return Result.err(failure(resourceCodes.revisionGone, "the snapshot was replaced by a newer one"));
         }
         const { revision, digest, content, resources } = snapshot;
-        const part = pack(resources.slice(offset, offset + partResources));
+        const part = pack(resources.slice(offset, offset + resourcesPerPart));
         return Result.ok({ revision, digest, content, total: resources.length, part });
     }
 
-    /** Takes a snapshot, unless a recent one serves: what is missing in it follows as entries. */
-    private takeSnapshot(): Snapshot {
+    /** Returns the cached snapshot if the entries since it are still retained, otherwise a new one. */
+    private currentSnapshot(): Snapshot {
         const { state, clock } = this.context;
         if (this.taken !== undefined && this.taken.revision >= state.oldest) {
             return this.taken;
--- a/packages/config/src/lib/distribution/Children.ts
+++ b/packages/config/src/lib/distribution/Children.ts
@@ -2,24 +2,24 @@
 import { type Clock } from "@waxwingspar/utils";
 import { type SinceParams } from "./messages.js";
 
-/** A child that has not asked for so long, in milliseconds, learns elsewhere or is lost. */
-const rememberedFor = 4000;
+/** Milliseconds without a request after which a child is assumed to be lost or to have another parent. */
+const childLifetime = 4000;
 
-/** The part of a link that questions to a child need. @internal */
+/** The part of a link that requests to a child need. @internal */
 export type ChildLink = Pick<Link, "request" | "peer">;
 
-/** A process that learns from this one. @internal */
+/** A process that fetches changes from this one. @internal */
 export interface Child {
     readonly process: string;
-    /** The revision in force there when it last asked. */
+    /** The revision in force in the child at its last request. */
     readonly revision: number;
     readonly children: number;
-    readonly heardAt: number;
+    readonly acknowledgedAt: number;
     readonly link: ChildLink;
 }
 
 /**
- * The processes that learn from this one, and what they last acknowledged.
+ * The processes that fetch changes from this one, and the revisions that they last acknowledged.
  *
  * @internal
  */
@@ -28,33 +28,33 @@
 
     constructor(private readonly clock: Clock, private readonly limit: number) {}
 
-    /** How many asked lately. */
+    /** The number of children with a recent request. */
     get count(): number {
-        this.forget();
+        this.removeExpired();
         return this.known.size;
     }
 
-    /** Takes an acknowledgement. Returns false when there is no room for another child. */
-    heard(params: SinceParams, link: ChildLink): boolean {
-        this.forget();
+    /** Records an acknowledgement. Returns false if the process would exceed the limit on children. */
+    acknowledge(params: SinceParams, link: ChildLink): boolean {
+        this.removeExpired();
         const { process } = link.peer;
         if (!this.known.has(process) && this.known.size >= this.limit) {
             return false;
         }
         const { revision, children } = params;
-        this.known.set(process, { process, revision, children, heardAt: this.clock.now(), link });
+        this.known.set(process, { process, revision, children, acknowledgedAt: this.clock.now(), link });
         return true;
     }
 
     list(): Child[] {
-        this.forget();
+        this.removeExpired();
         return [...this.known.values()];
     }
 
-    private forget(): void {
-        const oldest = this.clock.now() - rememberedFor;
+    private removeExpired(): void {
+        const oldest = this.clock.now() - childLifetime;
         for (const child of this.known.values()) {
-            if (child.heardAt < oldest) {
+            if (child.acknowledgedAt < oldest) {
                 this.known.delete(child.process);
             }
         }
--- a/packages/config/src/lib/distribution/ConfigurationNode.test.ts
+++ b/packages/config/src/lib/distribution/ConfigurationNode.test.ts
@@ -12,7 +12,7 @@
     assertHistory(site);
 });
 
-test("in an idle site the store reads do not grow with the processes of a data centre", async () => {
+test("in an idle site the number of store reads does not grow with the processes of a data centre", async () => {
     const reads = [];
     for (const size of [4, 16, 48]) {
         const site = await startedSite(["a"], size);
@@ -49,7 +49,7 @@
     assertHistory(site);
 });
 
-test("the newest revision is known only once every process has told its own, and is learned with that", async () => {
+test("the newest revision is known only if every process reports its own, and its changes are applied", async () => {
     const site = await startedSite(["a"], 6);
     await acceptAndSpread(site, site.processes[0]!);
     const newcomer = site.processes[3]!;
@@ -59,7 +59,7 @@
     site.stopAll();
 });
 
-test("an accepted change outlives a store that comes back from a copy, and others follow it", async () => {
+test("an accepted change survives a restore of the store from a copy, and later changes are accepted", async () => {
     const site = await startedSite(["a", "b"], 8);
     const restore = site.table.saveCopy();
     await acceptAndSpread(site, site.processes[3]!);
@@ -69,7 +69,7 @@
     assertHistory(site);
 });
 
-test("readers that are shown old rows neither go back nor keep the others behind", async () => {
+test("readers with stale reads neither return to an older revision nor delay other processes", async () => {
     const site = await startedSite(["a", "b"], 8);
     const rows = await site.table.scan("", "", 1000);
     assert(rows.isOk);
@@ -79,7 +79,7 @@
     assertHistory(site);
 });
 
-test("with the store down a newcomer is ready once it knows what its peers know", async () => {
+test("with the store down a new process is ready once it has the revision of its peers", async () => {
     const site = await startedSite(["a"], 6);
     await acceptAndSpread(site, site.processes[0]!);
     site.table.faults.set({ down: true });
@@ -90,13 +90,13 @@
     site.processes.filter(one => one !== newcomer).forEach(one => site.kill(one));
     void site.start(newcomer);
     await site.clock.advanceAsync(10_000);
-    assert.equal(newcomer.node.ready, false, "ready without having heard from anyone");
+    assert.equal(newcomer.node.ready, false, "ready without contact to the store or a peer");
     site.table.faults.set({ down: false });
     await site.until(() => newcomer.node.ready);
     assert.equal(newcomer.node.revision, 1);
 });
 
-test("an hour without the store changes nothing, refuses changes by number, and ends within the bound", async () => {
+test("an hour without the store keeps the configuration, refuses changes, and ends within the bound", async () => {
     const site = await startedSite(["a", "b"], 3);
     const operator = site.processes[1]!;
     await acceptAndSpread(site, operator);
@@ -113,21 +113,21 @@
     assertHistory(site);
 });
 
-test("a process that slept longer than the log loads a snapshot and goes on with entries", async () => {
+test("a process that was down for more revisions than the log retains loads a snapshot, then entries", async () => {
     const site = await startedSite(["a"], 4);
-    const [sleeper, operator] = site.processes.filter(one => !readersOf(site, "a").includes(one));
-    assert(sleeper !== undefined && operator !== undefined);
-    site.kill(sleeper);
+    const [stoppedProcess, operator] = site.processes.filter(one => !readersOf(site, "a").includes(one));
+    assert(stoppedProcess !== undefined && operator !== undefined);
+    site.kill(stoppedProcess);
     for (let number = 0; number < 1030; number++) {
         await site.settle(site.change(operator, `s${number % 450}`, number + 1));
     }
-    await site.settle(site.start(sleeper));
-    assert.equal(sleeper.node.state.digest, operator.node.state.digest);
+    await site.settle(site.start(stoppedProcess));
+    assert.equal(stoppedProcess.node.state.digest, operator.node.state.digest);
     assert((site.calls.get("config.snapshot") ?? 0) > 0, "the snapshot was not used");
     await acceptAndSpread(site, operator);
 });
 
-test("a data centre that is replaced at once, while the list shows the old hosts, learns from another", async () => {
+test("a new process uses a parent in another data centre if its own was replaced and the list is old", async () => {
     const site = await startedSite(["a", "b"], 12);
     await acceptAndSpread(site, site.processes[20]!);
     const old = site.processes.filter(one => one.host.dataCentre === "a");
@@ -138,7 +138,7 @@
     assert(site.clock.now() - started <= bound, `ready after ${site.clock.now() - started} ms`);
 });
 
-test("progress names the process that is behind, and nobody once all have the revision", async () => {
+test("progress names the process that is behind, and none if all have the revision", async () => {
     const site = await startedSite(["a", "b"], 12);
     const operator = site.processes[0]!;
     await acceptAndSpread(site, operator);
@@ -152,7 +152,7 @@
     assert.deepEqual([late.behindCount, late.behind.map(one => one.process)], [1, [hung.name]]);
 });
 
-test("a process that says it leaves is avoided at once, while the live list still shows it", async () => {
+test("a process that announces its leaving is avoided immediately, while it is still in the live list", async () => {
     const site = await startedSite(["a"], 8);
     const reader = readersOf(site, "a")[0]!;
     await site.settle(reader.node.announceLeaving());
@@ -161,7 +161,7 @@
     await acceptAndSpread(site, witness);
 });
 
-const happening = fc.oneof(
+const siteEvent = fc.oneof(
     fc.record({ what: fc.constant("change" as const), who: fc.nat(), value: fc.integer({ min: 1, max: 50 }) }),
     fc.record({ what: fc.constantFrom("kill" as const, "hang" as const, "restart" as const), who: fc.nat() }),
     fc.record({ what: fc.constantFrom("slow" as const, "cutOff" as const), who: fc.nat() }),
@@ -170,29 +170,29 @@
     }),
     fc.record({ what: fc.constant("partition" as const) }),
 );
-type Happening = typeof happening extends fc.Arbitrary<infer T> ? T : never;
+type SiteEvent = typeof siteEvent extends fc.Arbitrary<infer T> ? T : never;
 
 test("any interleaving: revisions only grow, digests agree, and all is in force in the end", async () => {
     await fc.assert(
-        fc.asyncProperty(fc.array(fc.tuple(happening, fc.nat(1500)), { maxLength: 14 }), async steps => {
+        fc.asyncProperty(fc.array(fc.tuple(siteEvent, fc.nat(1500)), { maxLength: 14 }), async steps => {
             const site = await startedSite(["a", "b"], 6);
             const pending: Promise<unknown>[] = [];
             for (const [step, pause] of steps) {
-                happen(site, step, pending);
+                applyEvent(site, step, pending);
                 await site.clock.advanceAsync(pause);
             }
             await heal(site);
             await site.settle(Promise.all(pending));
             await acceptAndSpread(site, site.processes[0]!, 60_000);
             await site.clock.advanceAsync(bound);
-            // While the store or a link is down nobody can be in step within the bound; what must hold then is the rest.
+            // The time bound cannot be met while the store or a link is down, so only the other rules are checked.
             assertHistory(site, Number.POSITIVE_INFINITY);
         }),
         { numRuns: 25, includeErrorInReport: true },
     );
 });
 
-function happen(site: SimulatedSite, step: Happening, pending: Promise<unknown>[]): void {
+function applyEvent(site: SimulatedSite, step: SiteEvent, pending: Promise<unknown>[]): void {
     const process = "who" in step ? site.processes[step.who % site.processes.length] : undefined;
     const running = process !== undefined && !process.dead && !process.hung;
     switch (step.what) {
@@ -242,7 +242,7 @@
 
 let changes = 0;
 
-/** Accepts a change and requires it to be in force everywhere within the bound. */
+/** Sends a change to a process and asserts that it is accepted and in force everywhere within the bound. */
 async function acceptAndSpread(site: SimulatedSite, operator: SimulatedProcess, limit = 10_000): Promise<void> {
     const outcome = await site.settle(site.change(operator, "spread", ++changes), limit);
     assert(outcome.isOk, outcome.isErr ? JSON.stringify(outcome.error) : "");
--- a/packages/config/src/lib/distribution/ConfigurationNode.ts
+++ b/packages/config/src/lib/distribution/ConfigurationNode.ts
@@ -17,7 +17,7 @@
 import { leavingParamsSchema, type OfferParams, offerParamsSchema, rpcMethods } from "./messages.js";
 import { NodeContext, type PeerCaller } from "./NodeContext.js";
 import { pack, unpack } from "./packing.js";
-import { keyOf, ParentSelector } from "./ParentSelector.js";
+import { addressKey, ParentSelector } from "./ParentSelector.js";
 import { type Progress, ProgressCollector } from "./ProgressCollector.js";
 
 /**
@@ -33,24 +33,24 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly record?: HistoryRecorder;
-    /** Addresses to ask while the membership is empty and the live list cannot be read. */
+    /** Addresses of peers to use while the membership is empty and the live list cannot be read. */
     readonly seeds?: readonly Address[];
     /** Milliseconds between two reads of the log by a reader. */
     readonly storeInterval?: number;
     /** Milliseconds between two reads of the live list by a reader. */
     readonly listInterval?: number;
-    /** Milliseconds for which a parent holds an answer back while nothing is new. */
+    /** Milliseconds for which a parent may delay a response while it has nothing new. */
     readonly wait?: number;
-    /** Milliseconds that lie at least between two questions to parents. */
+    /** Minimum number of milliseconds between two requests to parents. */
     readonly minInterval?: number;
-    /** Milliseconds until the next question after an answer with entries, so that those of a burst travel together. */
+    /** Milliseconds before the next request after a response with entries, so that bursts of entries are batched. */
     readonly batchPause?: number;
-    /** The age from which a parent counts as lagging, in milliseconds. */
+    /** The age above which a parent counts as lagging, in milliseconds. */
     readonly lagLimit?: number;
     readonly readers?: number;
-    /** How many processes are meant to learn from one. */
+    /** The intended number of children of one process. */
     readonly fanOut?: number;
-    /** How many processes may learn from one. */
+    /** The maximum number of children of one process. */
     readonly maxChildren?: number;
 }
 
@@ -65,23 +65,28 @@
     fanOut: 6,
     maxChildren: 24,
 };
-const readerExchange = 1000;
-const listPatience = 2000;
-const longestBackoff = 2000;
-const peersForReadiness = 3;
-/** Processes that are asked for their revision at the same time. */
-const askedAtOnce = 64;
+/** Milliseconds between two requests of a reader to other processes. */
+const readerExchangeInterval = 1000;
+/** Milliseconds after the start for which a process without a live list does not act as a reader. */
+const firstListTimeout = 2000;
+/** Milliseconds of the longest back-off, before jitter. */
+const maxBackoff = 2000;
+/** The number of peers whose revisions determine readiness while the store is down. */
+const readinessPeers = 3;
+/** Processes that are queried for their revision concurrently. */
+const maxParallelRequests = 64;
 const leavingTimeout = 500;
 const offerTimeout = 1000;
 
 /**
- * The configuration in force in a process, and its part in distributing it: it learns from the store if it is one of
- * its data centre's readers, else from a process of the tier above, and hands on what it knows.
+ * The configuration in force in a process, and its role in distributing it: the process reads from the store if it is
+ * one of the readers of its data centre, otherwise from a process of the tier above, and serves changes to other
+ * processes.
  *
  * @public
  */
 export class ConfigurationNode implements Configuration {
-    /** The state in force. Others may offer it entries; it takes only the next ones. */
+    /** The state in force. Other components may apply entries to it, which it accepts only in revision order. */
     readonly state: RevisionState;
     private readonly options: ConfigurationNodeOptions & typeof defaults;
     private readonly context: NodeContext;
@@ -92,7 +97,7 @@
     private readonly children: Children;
     private startedAt = Number.POSITIVE_INFINITY;
     private stopped = false;
-    private readyNow = false;
+    private isReady = false;
 
     constructor(options: ConfigurationNodeOptions) {
         this.options = { ...defaults, ...options };
@@ -111,12 +116,12 @@
         return this.state.revision;
     }
 
-    /** True once this process knows all that was accepted before it started, as far as anyone could tell it. */
+    /** True once this process has in force what the store, or peers if the store is down, held at its start. */
     get ready(): boolean {
-        return this.readyNow;
+        return this.isReady;
     }
 
-    /** Milliseconds since this process was in step with the store, by whatever path. */
+    /** Milliseconds since this process was last synchronised with the store, directly or through peers. */
     get age(): number {
         return this.context.age;
     }
@@ -133,14 +138,14 @@
         return this.state.onChange(handler);
     }
 
-    /** The RPC methods that this node offers to every peer. */
+    /** The RPC methods that this node serves to all peers. */
     methods(): Record<string, RpcMethod> {
         return {
             [rpcMethods.since]: this.server.since,
             [rpcMethods.snapshot]: this.server.snapshot,
             [rpcMethods.progress]: this.collector.answer,
-            [rpcMethods.offer]: params => Promise.resolve(this.heardOffer(params)),
-            [rpcMethods.leaving]: params => Promise.resolve(this.heardLeaving(params)),
+            [rpcMethods.offer]: params => Promise.resolve(this.receiveOffer(params)),
+            [rpcMethods.leaving]: params => Promise.resolve(this.receiveLeaving(params)),
         };
     }
 
@@ -150,22 +155,24 @@
     }
 
     /**
-     * Asks every other process for the revision that it has in force, and learns the changes that it has not heard of.
+     * Queries every other process for its revision in force and applies changes that this process lacks.
      *
-     * @returns The highest; a failure unless each process has answered that the list shows or showed lately.
+     * @returns The highest revision, or a failure unless every process that is in the live list, or was until recently,
+     * has answered.
      */
     async findNewest(): Promise<Outcome<number>> {
         const { membership } = this.options;
         if (!Number.isFinite(membership.listAge)) {
-            return Result.err(failure(platformCodes.storeUnavailable, "the other processes are not known yet"));
+            return Result.err(failure(platformCodes.storeUnavailable, "the live list has not been read yet"));
         }
         const others = membership.members().filter(({ process }) => process !== membership.self.process);
         let newest = this.state.revision;
-        for (let first = 0; first < others.length; first += askedAtOnce) {
-            const group = others.slice(first, first + askedAtOnce);
-            for (const answer of await Promise.all(group.map(other => this.client.ask(other, 0)))) {
+        for (let first = 0; first < others.length; first += maxParallelRequests) {
+            const group = others.slice(first, first + maxParallelRequests);
+            for (const answer of await Promise.all(group.map(other => this.client.fetchChanges(other, 0)))) {
                 if (answer.isErr) {
-                    const message = "changes may be lost, and a process has not told what it has in force";
+                    const message =
+                        "the store may have lost changes, and a process did not report its revision in force";
                     return Result.err(failure(platformCodes.storeUnavailable, message));
                 }
                 newest = Math.max(newest, answer.value.revision);
@@ -174,7 +181,7 @@
         return Result.ok(newest);
     }
 
-    /** Starts to learn. Resolves once the process is {@link ConfigurationNode.ready}. */
+    /** Starts to fetch changes. Resolves once the process is {@link ConfigurationNode.ready}. */
     async start(): Promise<void> {
         this.startedAt = this.options.clock.now();
         void this.listLoop();
@@ -183,31 +190,34 @@
         await this.becomeReady();
     }
 
-    /** Stops learning; questions of others are still answered. */
+    /** Stops fetching changes; requests from other processes are still answered. */
     stop(): void {
         this.stopped = true;
         this.context.signal.notify();
     }
 
-    /** Tells those who learn from this process, and those it learns from, that it leaves. */
+    /** Announces to the children and the parents of this process that it is leaving. */
     async announceLeaving(): Promise<void> {
         const { process, incarnation } = this.options.membership.self;
         const params = { process, incarnation };
-        const tell = (peer: Address) => this.options.call(peer, rpcMethods.leaving, params, leavingTimeout);
-        const below = this.children.list().map(({ link }) => link.request(rpcMethods.leaving, params, leavingTimeout));
-        await Promise.all([...below, ...this.parents.list().map(tell)]);
+        const notifyPeer = (peer: Address) => this.options.call(peer, rpcMethods.leaving, params, leavingTimeout);
+        const childRequests = this.children.list().map(({ link }) =>
+            link.request(rpcMethods.leaving, params, leavingTimeout)
+        );
+        await Promise.all([...childRequests, ...this.parents.list().map(notifyPeer)]);
     }
 
     /**
-     * Tells a change that this process accepted to the readers of its data centre and to one reader of each other, ahead
-     * of their next read of the store. What gets lost, they read there.
+     * Sends a change that this process accepted to the readers of its own data centre and to one reader of each other
+     * data centre, ahead of their next read of the store. Lost messages are not resent, because the readers also read
+     * the store.
      */
     offer(entry: LogEntry): void {
         this.sendOffer({ entries: pack([entry]) }, [...this.parents.ownReaders(), ...this.parents.remoteReaders(1)]);
     }
 
-    /** The reader that hears of a change tells the others of its data centre. */
-    private heardOffer(params: unknown): Outcome<unknown> {
+    /** Applies an offered change and, if it was new, forwards it to the readers of this data centre. */
+    private receiveOffer(params: unknown): Outcome<unknown> {
         const parsed = offerParamsSchema.safeParse(params);
         const entries = parsed.success ? z.array(logEntrySchema).safeParse(unpack(parsed.data.entries)) : parsed;
         if (!parsed.success || !entries.success) {
@@ -226,18 +236,18 @@
         }
     }
 
-    private heardLeaving(params: unknown): Outcome<unknown> {
+    private receiveLeaving(params: unknown): Outcome<unknown> {
         const parsed = leavingParamsSchema.safeParse(params);
         if (!parsed.success) {
             return Result.err(failure(requestCodes.malformed, "malformed announcement"));
         }
-        this.options.membership.sawLeaving(parsed.data.process, parsed.data.incarnation);
+        this.options.membership.recordLeaving(parsed.data.process, parsed.data.incarnation);
         return Result.ok(true);
     }
 
     /**
-     * The target revision is the store's head, or while the store is down the highest of several peers; nothing is
-     * known when neither answers.
+     * Waits until the target revision is in force: the head of the store or, while the store is down, the highest
+     * revision of several peers. Retries while neither the store nor any peer answers.
      */
     private async becomeReady(): Promise<void> {
         const { clock } = this.options;
@@ -245,7 +255,7 @@
             const target = await this.targetRevision();
             if (target !== undefined) {
                 await this.waitForRevision(target);
-                this.readyNow = !this.stopped;
+                this.isReady = !this.stopped;
                 return;
             }
             await sleep(clock, this.backoff(attempt));
@@ -257,8 +267,8 @@
         if (head.isOk) {
             return head.value.revision;
         }
-        const peers = this.parents.list().slice(0, peersForReadiness);
-        const answers = await Promise.all(peers.map(peer => this.client.ask(peer, 0)));
+        const peers = this.parents.list().slice(0, readinessPeers);
+        const answers = await Promise.all(peers.map(peer => this.client.fetchChanges(peer, 0)));
         const revisions = answers.filter(answer => answer.isOk).map(answer => answer.value.revision);
         return revisions.length === 0 ? undefined : Math.max(...revisions);
     }
@@ -274,17 +284,17 @@
         for (let failures = 0; !this.stopped;) {
             if (this.isReader()) {
                 const started = clock.now();
-                const offer = await log.advance(this.state);
-                if (offer.isOk && (offer.value === "applied" || offer.value === "current")) {
-                    this.context.synced(clock.now() - started);
+                const result = await log.advance(this.state);
+                if (result.isOk && (result.value === "applied" || result.value === "current")) {
+                    this.context.markSynced(clock.now() - started);
                 }
-                failures = offer.isOk ? 0 : failures + 1;
+                failures = result.isOk ? 0 : failures + 1;
             }
             await sleep(clock, failures === 0 ? this.jitter(storeInterval) : this.backoff(failures));
         }
     }
 
-    /** Readers read the list again and again; others only until they know one, and learn the rest from peers. */
+    /** Readers read the live list periodically; other processes only until they have one, and then use peers. */
     private async listLoop(): Promise<void> {
         const { clock, liveList, membership, listInterval } = this.options;
         for (let failures = 0; !this.stopped;) {
@@ -292,7 +302,7 @@
                 const started = clock.now();
                 const list = await liveList.read();
                 if (list.isOk) {
-                    this.context.takeList(list.value, clock.now() - started);
+                    this.context.applyList(list.value, clock.now() - started);
                 }
                 failures = list.isOk ? 0 : failures + 1;
             }
@@ -302,28 +312,32 @@
 
     private async peerLoop(): Promise<void> {
         const { clock, wait, minInterval, batchPause } = this.options;
-        let proved: string | undefined;
+        let responsiveParent: string | undefined;
         while (!this.stopped) {
             const started = clock.now();
             const reader = this.isReader();
             const parent = this.parents.pick();
             let pause = 0;
             if (parent !== undefined) {
-                // A parent that has not proved itself is asked for a quick answer, so that several dead ones cost little.
-                const answer = await this.client.ask(parent, reader || keyOf(parent) !== proved ? 0 : wait);
-                proved = answer.isOk ? keyOf(parent) : undefined;
-                this.parents.note(parent, answer, reader);
-                pause = answer.isOk && answer.value.news ? batchPause : 0;
+                // A parent that has not answered before is not allowed to delay its response, so that unresponsive
+                // parents are detected quickly.
+                const answer = await this.client.fetchChanges(
+                    parent,
+                    reader || addressKey(parent) !== responsiveParent ? 0 : wait,
+                );
+                responsiveParent = answer.isOk ? addressKey(parent) : undefined;
+                this.parents.recordResult(parent, answer, reader);
+                pause = answer.isOk && answer.value.hasEntries ? batchPause : 0;
             }
-            const interval = reader ? readerExchange : parent === undefined ? longestBackoff / 4 : minInterval;
+            const interval = reader ? readerExchangeInterval : parent === undefined ? maxBackoff / 4 : minInterval;
             await sleep(clock, Math.max(pause, this.jitter(interval) - (clock.now() - started)));
         }
     }
 
-    /** A process that knows no list would take itself for the only one, so it gives the list some time. */
+    /** Without a live list a process would consider itself a reader, so it waits some time for the first list. */
     private isReader(): boolean {
         const { membership, readers, clock } = this.options;
-        if (!Number.isFinite(membership.listAge) && clock.now() < this.startedAt + listPatience) {
+        if (!Number.isFinite(membership.listAge) && clock.now() < this.startedAt + firstListTimeout) {
             return false;
         }
         const { dataCentre, process } = membership.self;
@@ -335,6 +349,6 @@
     }
 
     private backoff(failures: number): number {
-        return this.jitter(Math.min(longestBackoff, this.options.storeInterval * 2 ** Math.min(failures, 8)));
+        return this.jitter(Math.min(maxBackoff, this.options.storeInterval * 2 ** Math.min(failures, 8)));
     }
 }
--- a/packages/config/src/lib/distribution/NodeContext.ts
+++ b/packages/config/src/lib/distribution/NodeContext.ts
@@ -19,7 +19,7 @@
 ) => Promise<Outcome<unknown>>;
 
 /**
- * Calls peers over a pool of links, and tells the membership who was found where.
+ * Creates a caller that uses a pool of links and records in the membership which process answered at which address.
  *
  * @public
  */
@@ -31,10 +31,10 @@
     };
 }
 
-/** What the parts of one configuration node share. @internal */
+/** The state that the parts of a configuration node share. @internal */
 export class NodeContext {
     readonly lists = new ListHistory();
-    /** Fires when there is something new for those who wait. */
+    /** Notified when the configuration or the live list has changed. */
     readonly signal: Signal;
     private syncedAt = Number.NEGATIVE_INFINITY;
 
@@ -43,18 +43,18 @@
         state.onChange(() => this.signal.notify());
     }
 
-    /** Milliseconds since this process was in step with the store, by whatever path; infinite before. */
+    /** Milliseconds since this process was last synchronised with the store, directly or through peers; or infinite. */
     get age(): number {
         return this.clock.now() - this.syncedAt;
     }
 
-    /** Notes that everything the store held some milliseconds ago is in force here. */
-    synced(age: number): void {
+    /** Records that everything the store held `age` milliseconds ago is in force in this process. */
+    markSynced(age: number): void {
         this.syncedAt = Math.max(this.syncedAt, this.clock.now() - age);
     }
 
-    /** Takes a list that was read some milliseconds ago. */
-    takeList(list: Parameters<Membership["updateList"]>[0], age: number): void {
+    /** Applies a live list that was read `age` milliseconds ago, unless a newer one is known. */
+    applyList(list: Parameters<Membership["updateList"]>[0], age: number): void {
         if (age >= this.membership.listAge) {
             return;
         }
--- a/packages/config/src/lib/distribution/ProgressCollector.ts
+++ b/packages/config/src/lib/distribution/ProgressCollector.ts
@@ -14,34 +14,37 @@
 } from "./messages.js";
 import { type NodeContext, type PeerCaller } from "./NodeContext.js";
 
-const namedBehind = 50;
-const asksForMissing = 32;
-const timeoutShare = 0.8;
-const rememberedQuestions = 100;
+/** The maximum number of processes that an answer names as behind. */
+const maxNamedBehind = 50;
+/** The maximum number of unreached processes that are queried directly. */
+const maxDirectRequests = 32;
+/** The share of its timeout that a process grants its children, so that it can still answer after they time out. */
+const childTimeoutShare = 0.8;
+const maxRememberedQuestions = 100;
 
 /**
- * How far a revision has come.
+ * The progress of a revision over all processes.
  *
  * @public
  */
 export interface Progress {
-    /** The revision that was asked about. */
+    /** The revision that the progress refers to. */
     readonly revision: number;
-    /** How many processes are known. */
+    /** The number of known processes. */
     readonly hosts: number;
-    /** How many of them are not known to have it in force. */
+    /** The number of processes that are not known to have the revision in force. */
     readonly behindCount: number;
-    /** The first of them, those of which nothing was heard included. */
+    /** The first of these processes, including those that did not answer. */
     readonly behind: readonly HostBehind[];
 }
 
 /**
- * Finds out which processes have a revision in force, by asking down the tiers along which changes travel.
+ * Finds out which processes have a revision in force by querying down the tiers through which changes are distributed.
  *
  * @internal
  */
 export class ProgressCollector {
-    /** The questions last answered, since paths may form a circle while they change. */
+    /** The IDs of recently answered queries, since the tree may contain cycles while parents change. */
     private readonly answered = new Set<string>();
 
     constructor(
@@ -50,18 +53,18 @@
         private readonly call: PeerCaller,
     ) {}
 
-    /** Answers for this process and for those that learn from it. */
+    /** Answers a query for this process and its children. */
     readonly answer: RpcMethod = async params => {
         const parsed = progressParamsSchema.safeParse(params);
         return parsed.success
-            ? Result.ok(await this.collectOwn(parsed.data))
-            : Result.err(failure(requestCodes.malformed, "malformed question for progress"));
+            ? Result.ok(await this.collectSubtree(parsed.data))
+            : Result.err(failure(requestCodes.malformed, "malformed request for progress"));
     };
 
     /**
-     * Asks every data centre.
+     * Collects the progress of a revision from all data centres.
      *
-     * @param timeout - Milliseconds that it may take.
+     * @param timeout - Milliseconds that the collection may take.
      */
     async collect(revision: number, timeout: number): Promise<Progress> {
         const { membership } = this.context;
@@ -74,45 +77,50 @@
         return this.collectByName({ ...params, question: uniqueId(), names: true });
     }
 
-    /** Names every process that was not reached, and asks some of those directly. */
+    /** Collects the names of all reached processes, and queries some of those that were not reached directly. */
     private async collectByName(params: ProgressParams): Promise<Progress> {
         const { membership } = this.context;
         const members = membership.members();
         const answers = await this.askReaders(params);
         const reached = new Set(answers.flatMap(answer => answer.names ?? []));
         const missing = members.filter(one => !reached.has(one.process));
-        const direct = await Promise.all(missing.slice(0, asksForMissing).map(one => this.ask(one, params)));
+        const direct = await Promise.all(missing.slice(0, maxDirectRequests).map(one => this.query(one, params)));
         const found = direct.filter(answer => answer.isOk).map(answer => answer.value);
         found.flatMap(answer => answer.names ?? []).forEach(name => reached.add(name));
         const total = merge([...answers, ...found]);
-        const unheard = members.filter(one => !reached.has(one.process)).map(({ process }) => ({ process }));
-        const behind = [...unheard, ...total.behind.filter(one => isKnown(membership, one))];
-        const behindCount = unheard.length + Math.max(total.behind.length, total.behindCount);
-        return { revision: params.revision, hosts: members.length, behindCount, behind: behind.slice(0, namedBehind) };
+        const unreached = members.filter(one => !reached.has(one.process)).map(({ process }) => ({ process }));
+        const behind = [...unreached, ...total.behind.filter(one => isKnown(membership, one))];
+        const behindCount = unreached.length + Math.max(total.behind.length, total.behindCount);
+        return {
+            revision: params.revision,
+            hosts: members.length,
+            behindCount,
+            behind: behind.slice(0, maxNamedBehind),
+        };
     }
 
     private async askReaders(params: ProgressParams): Promise<ProgressAnswer[]> {
         const { membership } = this.context;
         const readers = membership.dataCentres().flatMap(centre => membership.readers(centre));
-        const answers = await Promise.all(readers.map(reader => this.ask(reader, params)));
+        const answers = await Promise.all(readers.map(reader => this.query(reader, params)));
         return answers.filter(answer => answer.isOk).map(answer => answer.value);
     }
 
-    private async ask(member: Member, params: ProgressParams): Promise<Outcome<ProgressAnswer>> {
+    private async query(member: Member, params: ProgressParams): Promise<Outcome<ProgressAnswer>> {
         if (member.process === this.context.membership.self.process) {
-            return Result.ok(await this.collectOwn(params));
+            return Result.ok(await this.collectSubtree(params));
         }
         return parseAnswer(await this.call(member, rpcMethods.progress, params, params.timeout));
     }
 
-    private async collectOwn(params: ProgressParams): Promise<ProgressAnswer> {
+    private async collectSubtree(params: ProgressParams): Promise<ProgressAnswer> {
         if (!this.isNew(params.question)) {
             return merge([]);
         }
         const { process } = this.context.membership.self;
-        const own = this.single(process, this.context.state.revision, params);
-        const below = await Promise.all(this.children.list().map(child => this.askChild(child, params)));
-        return merge([own, ...below]);
+        const own = this.describeProcess(process, this.context.state.revision, params);
+        const childAnswers = await Promise.all(this.children.list().map(child => this.queryChild(child, params)));
+        return merge([own, ...childAnswers]);
     }
 
     private isNew(question: string): boolean {
@@ -121,23 +129,23 @@
         }
         this.answered.add(question);
         const [oldest] = this.answered;
-        if (this.answered.size > rememberedQuestions && oldest !== undefined) {
+        if (this.answered.size > maxRememberedQuestions && oldest !== undefined) {
             this.answered.delete(oldest);
         }
         return true;
     }
 
-    private async askChild(child: Child, params: ProgressParams): Promise<ProgressAnswer> {
-        const acknowledged = this.single(child.process, child.revision, params);
+    private async queryChild(child: Child, params: ProgressParams): Promise<ProgressAnswer> {
+        const acknowledged = this.describeProcess(child.process, child.revision, params);
         if (child.children === 0 && child.revision >= params.revision) {
             return acknowledged;
         }
-        const timeout = params.timeout * timeoutShare;
+        const timeout = params.timeout * childTimeoutShare;
         const answer = parseAnswer(await child.link.request(rpcMethods.progress, { ...params, timeout }, timeout));
         return answer.isOk ? answer.value : acknowledged;
     }
 
-    private single(process: string, revision: number, params: ProgressParams): ProgressAnswer {
+    private describeProcess(process: string, revision: number, params: ProgressParams): ProgressAnswer {
         const behind = revision < params.revision ? [{ process, revision }] : [];
         return { reached: 1, behindCount: behind.length, behind, ...(params.names ? { names: [process] } : {}) };
     }
@@ -148,7 +156,7 @@
         const parsed = progressAnswerSchema.safeParse(value);
         return parsed.success
             ? Result.ok<ProgressAnswer, never>(parsed.data)
-            : Result.err(failure(requestCodes.malformed, "malformed answer about progress"));
+            : Result.err(failure(requestCodes.malformed, "malformed response to a request for progress"));
     });
 }
 
@@ -159,7 +167,7 @@
     return {
         reached: answers.reduce((sum, answer) => sum + answer.reached, 0),
         behindCount: answers.reduce((sum, answer) => sum + answer.behindCount, 0),
-        behind: unique.slice(0, namedBehind),
+        behind: unique.slice(0, maxNamedBehind),
         ...(names.length > 0 ? { names } : {}),
     };
 }
--- a/packages/config/src/lib/distribution/Signal.ts
+++ b/packages/config/src/lib/distribution/Signal.ts
@@ -1,7 +1,7 @@
 import { type Clock } from "@waxwingspar/utils";
 
 /**
- * Wakes those who wait for a change.
+ * Wakes callers that wait for a change.
  *
  * @internal
  */
@@ -10,7 +10,7 @@
 
     constructor(private readonly clock: Clock) {}
 
-    /** Resolves with the next notification, or after some milliseconds. */
+    /** Resolves at the next notification, or after `timeout` milliseconds. */
     wait(timeout: number): Promise<void> {
         return new Promise(resolve => {
             const finish = () => {
@@ -23,7 +23,7 @@
         });
     }
 
-    /** Wakes everyone who waits now. */
+    /** Wakes all waiting callers. */
     notify(): void {
         [...this.waiting].forEach(finish => finish());
     }
--- a/packages/config/src/lib/distribution/chooseParents.ts
+++ b/packages/config/src/lib/distribution/chooseParents.ts
@@ -1,39 +1,42 @@
 import { type Member } from "../membership/Member.js";
 import { rankByWeight } from "../membership/rendezvous.js";
 
-const parentsOfTier = 2;
-const otherCentres = 4;
+/** The number of preferred parents from the tier above. */
+const parentsPerTier = 2;
+/** The maximum number of readers of other data centres among the parents. */
+const maxRemoteReaders = 4;
 
-/** What the choice of parents depends on. @internal */
+/** The input of {@link chooseParents}. @internal */
 export interface ParentChoice {
     readonly self: string;
-    /** The usable processes of the own data centre, readers first, this process included. */
+    /** The usable processes of the own data centre, including this process, with the readers first. */
     readonly ranked: readonly Member[];
     readonly readers: number;
-    /** How many processes are meant to learn from one. */
+    /** The intended number of children of one process. */
     readonly fanOut: number;
     /** Readers of other data centres. */
     readonly remote: readonly Member[];
 }
 
 /**
- * Chooses from whom a process learns, the best first. The processes of a data centre form tiers: the readers, then
- * `fanOut` times as many in each tier. A process learns from one of the tier above, which rendezvous weights choose, so
- * that the loss of one moves only those who learned from it. Behind the two best come the readers, then readers
- * elsewhere; so any two processes that can talk to anyone fresh do.
+ * Chooses the processes from which a process fetches changes, the preferred ones first. The processes of a data centre
+ * form tiers: the readers, then `fanOut` times as many in each further tier. The parent is a process of the tier above,
+ * chosen by rendezvous weight, so that the loss of a process moves only its own children. After the two processes with
+ * the highest weights come the readers, then readers of other data centres, so that a process finds an up-to-date peer
+ * as long as it can reach any of these.
  *
  * @internal
  */
 export function chooseParents({ self, ranked, readers, fanOut, remote }: ParentChoice): Member[] {
     const above = tierAbove(ranked.findIndex(one => one.process === self), readers, fanOut);
-    const tier = rankByWeight(`parent/${self}`, ranked.slice(above.from, above.to)).slice(0, parentsOfTier);
-    const far = rankByWeight(`remote/${self}`, remote).slice(0, otherCentres);
-    const choices = [...tier, ...ranked.slice(0, readers), ...far].filter(one => one.process !== self);
+    const tier = rankByWeight(`parent/${self}`, ranked.slice(above.from, above.to)).slice(0, parentsPerTier);
+    const remoteParents = rankByWeight(`remote/${self}`, remote).slice(0, maxRemoteReaders);
+    const choices = [...tier, ...ranked.slice(0, readers), ...remoteParents].filter(one => one.process !== self);
     const names = choices.map(one => one.process);
     return choices.filter((one, index) => names.indexOf(one.process) === index);
 }
 
-/** The ranks of the tier above a rank. A process that is not ranked learns like one of the last tier. */
+/** The ranks of the tier above a rank. A process without a rank (-1) has the readers as its parents. */
 function tierAbove(rank: number, readers: number, fanOut: number): { from: number; to: number; } {
     let from = 0;
     let to = readers;
--- a/packages/config/src/lib/distribution/messages.ts
+++ b/packages/config/src/lib/distribution/messages.ts
@@ -11,19 +11,19 @@
     offer: "config.offer",
 } as const;
 
-/** What a process asks for: everything after its own revision, as soon as there is something. @internal */
+/** A request for everything after the requester's revision, answered as soon as there is something. @internal */
 export const sinceParamsSchema = z.object({
-    /** The revision in force at the asker, which thereby acknowledges it. */
+    /** The revision in force at the requester, which the request acknowledges. */
     revision: z.number().int().nonnegative(),
-    /** The beginning of the asker's digest at that revision. */
+    /** A prefix of the requester's digest at that revision. */
     digest: z.string(),
-    /** The digest of the asker's live list. */
+    /** The digest of the requester's live list. */
     list: z.string(),
-    /** Milliseconds since the asker's live list was read; absent if it has none. */
+    /** Milliseconds since the requester's live list was read; absent if it has none. */
     listAge: z.number().nonnegative().optional(),
-    /** Milliseconds for which the answer may be held back while there is nothing new; 0 for a question in passing. */
+    /** Milliseconds for which the response may be delayed while there is nothing new; 0 for a one-off request. */
     wait: z.number().nonnegative(),
-    /** How many processes learn from the asker. */
+    /** The number of children of the requester. */
     children: z.number().int().nonnegative(),
 });
 
@@ -33,28 +33,28 @@
 /** @internal */
 export const sinceAnswerSchema = z.object({
     revision: z.number().int().nonnegative(),
-    /** Milliseconds since the answer was in step with the store; absent if it never was. */
+    /** Milliseconds since the responder was last synchronised with the store; absent if it never was. */
     age: z.number().nonnegative().optional(),
-    /** The entries after the asker's revision, packed. */
+    /** The entries after the requester's revision, packed. */
     entries: z.string().optional(),
-    /** True when the asker needs a snapshot. */
+    /** True if the requester needs a snapshot. */
     snapshot: z.boolean().optional(),
     /** Milliseconds since the live list was read. */
     listAge: z.number().nonnegative().optional(),
-    /** What changed in the live list, packed. */
+    /** The changes of the live list, packed. */
     listChange: z.string().optional(),
-    /** The whole live list, packed, for an asker whose list is not known here. */
+    /** The complete live list, packed, if the requester's list is not in the responder's history. */
     list: z.string().optional(),
 });
 
 /** @internal */
 export type SinceAnswer = z.infer<typeof sinceAnswerSchema>;
 
-/** Asks for a part of a snapshot. @internal */
+/** A request for a part of a snapshot. @internal */
 export const snapshotParamsSchema = z.object({
     /** The revision whose snapshot is being read; absent for the first part. */
     revision: z.number().int().optional(),
-    /** How many resources were received. */
+    /** The number of resources received so far. */
     offset: z.number().int().nonnegative(),
 });
 
@@ -63,7 +63,7 @@
     revision: z.number().int(),
     digest: z.string(),
     content: z.string(),
-    /** Resources of the whole snapshot. */
+    /** The number of resources in the complete snapshot. */
     total: z.number().int(),
     /** The next resources, packed. */
     part: z.string(),
@@ -71,13 +71,13 @@
 
 /** @internal */
 export const progressParamsSchema = z.object({
-    /** Unique for each question. A process that it reaches twice, along a changed path, counts once. */
+    /** The unique ID of the query. A process that receives it twice, because parents changed, is counted once. */
     question: z.string(),
     /** Processes below this revision are behind. */
     revision: z.number().int(),
-    /** True to have every process named that was reached. */
+    /** True to include the names of all reached processes in the response. */
     names: z.boolean(),
-    /** Milliseconds that the answer may take. */
+    /** Milliseconds that the response may take. */
     timeout: z.number().positive(),
 });
 
@@ -87,7 +87,7 @@
 /** A process that is behind. @internal */
 export const hostBehindSchema = z.object({
     process: z.string(),
-    /** The revision in force there, as last heard; absent when it was not heard of. */
+    /** The last known revision in force in the process; absent if the process did not answer. */
     revision: z.number().int().optional(),
 });
 
@@ -102,7 +102,7 @@
 export const progressAnswerSchema = z.object({
     reached: z.number().int(),
     behindCount: z.number().int(),
-    /** The first of those behind. */
+    /** The first of the processes that are behind. */
     behind: z.array(hostBehindSchema),
     names: z.array(z.string()).optional(),
 });
@@ -110,13 +110,13 @@
 /** @internal */
 export type ProgressAnswer = z.infer<typeof progressAnswerSchema>;
 
-/** Entries that were just accepted, packed, from the process that accepted them. @internal */
+/** Newly accepted entries, packed, from the process that accepted them or a reader that forwards them. @internal */
 export const offerParamsSchema = z.object({ entries: z.string() });
 
 /** @internal */
 export type OfferParams = z.infer<typeof offerParamsSchema>;
 
-/** A process's own word that it leaves. @internal */
+/** The announcement of a process that it is leaving. @internal */
 export const leavingParamsSchema = z.object({ process: z.string(), incarnation: z.string() });
 
 /** @internal */
--- a/packages/config/src/lib/distribution/packing.ts
+++ b/packages/config/src/lib/distribution/packing.ts
@@ -1,33 +1,34 @@
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
-const plainMark = "=";
-const deflatedMark = "~";
-const smallText = 400;
+const plainPrefix = "=";
+const deflatedPrefix = "~";
+/** The maximum length of text, in characters, that is not compressed. */
+const maxPlainLength = 400;
 const maxInflated = 256 * 1024 * 1024;
 
 /**
- * Writes a value as text for an answer: plain JSON when it is small, else compressed.
+ * Encodes a value as text: plain JSON if it is small, otherwise compressed.
  *
  * @internal
  */
 export function pack(value: unknown): string {
     const text = JSON.stringify(value);
-    if (text.length <= smallText) {
-        return plainMark + text;
+    if (text.length <= maxPlainLength) {
+        return plainPrefix + text;
     }
-    return deflatedMark + deflateRawSync(text).toString("base64");
+    return deflatedPrefix + deflateRawSync(text).toString("base64");
 }
 
 /**
- * Reads what {@link pack} wrote.
+ * Decodes the output of {@link pack}.
  *
- * @returns Undefined when it cannot be read.
+ * @returns The value, or undefined if the text is invalid.
  * @internal
  */
 export function unpack(packed: string): unknown {
     const body = packed.slice(1);
     try {
-        if (packed.startsWith(plainMark)) {
+        if (packed.startsWith(plainPrefix)) {
             return JSON.parse(body);
         }
         const inflated = inflateRawSync(Buffer.from(body, "base64"), { maxOutputLength: maxInflated });
--- a/packages/config/src/lib/membership/ListHistory.ts
+++ b/packages/config/src/lib/membership/ListHistory.ts
@@ -2,7 +2,8 @@
 import { createHash } from "node:crypto";
 import { z } from "zod";
 
-const keptChanges = 64;
+/** The number of recent changes from which a difference to an older list can be built. */
+const maxChanges = 64;
 const digestBits = 64n;
 const digestCharacters = 16;
 const digestMask = (1n << digestBits) - 1n;
@@ -29,8 +30,8 @@
 }
 
 /**
- * Hands the live list on as differences. Lists are known by a digest of their content, so that any process can serve
- * any other, whoever read the list.
+ * Keeps the newest live list and its recent changes, so that the list can be sent as differences. Lists are identified
+ * by a digest of their content, so that any process can serve any other, regardless of which process read the list.
  *
  * @internal
  */
@@ -50,7 +51,7 @@
         return [...this.hosts.values()].map(({ host }) => host);
     }
 
-    /** Takes a newer list. Returns whether it differs. Only what changed is hashed, since lists are long. */
+    /** Replaces the list and returns whether it changed. Only changed hosts are hashed, because lists are long. */
     update(list: readonly LiveHost[]): boolean {
         const next = new Map(list.map(host => [host.process, { host, text: textOf(host) }]));
         const removed = [...this.hosts.keys()].filter(process => !next.has(process));
@@ -60,15 +61,15 @@
         }
         [...removed, ...set.map(({ host }) => host.process)].forEach(process => this.subtract(process));
         set.forEach(({ text }) => this.sum += hashOf(text));
-        this.remember({ set: set.map(({ host }) => host), removed });
+        this.recordChange({ set: set.map(({ host }) => host), removed });
         this.hosts = next;
         this.current = (this.sum & digestMask).toString(16).padStart(digestCharacters, "0");
         return true;
     }
 
-    private remember(change: ListChange): void {
+    private recordChange(change: ListChange): void {
         this.steps.push({ from: this.current, change });
-        if (this.steps.length > keptChanges) {
+        if (this.steps.length > maxChanges) {
             this.steps.shift();
         }
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The change from an older list to the newest, or undefined when the older one is no longer known here. */
+    /** Returns the change from an older list to the newest, or undefined if the older one is not in the history. */
     since(digest: string): ListChange | undefined {
         if (digest === this.current) {
             return { set: [], removed: [] };
@@ -104,7 +105,7 @@
         return { set: [...set.values()], removed: [...removed] };
     }
 
-    /** The newest list after a change that was received. */
+    /** Returns the newest list with a received change applied. Does not modify the history. */
     changed(change: ListChange): LiveHost[] {
         const next = new Map(this.list().map(host => [host.process, host]));
         change.removed.forEach(process => next.delete(process));
--- a/packages/config/src/lib/membership/Member.ts
+++ b/packages/config/src/lib/membership/Member.ts
@@ -1,28 +1,28 @@
 import { type LiveHost } from "@waxwingspar/stores";
 
 /**
- * Whether a process takes part: `live`, `leaving` by its own word or the list's, or `unreachable`, which the list no
- * longer shows although it may still run, as when a region is cut off.
+ * The state of a process: `live`; `leaving`, as announced by the process or the live list; or `unreachable`, if the
+ * list no longer contains the process although it may still be running, for example in a region that is cut off.
  *
  * @public
  */
 export type MemberState = "live" | "leaving" | "unreachable";
 
 /**
- * A process of the system as this process knows it.
+ * A process of the system, as known to this process.
  *
  * @public
  */
 export interface Member extends Omit<LiveHost, "state"> {
     readonly state: MemberState;
-    /** The start of the process that was last heard of, once it has been heard of at all. */
+    /** The last known incarnation, which identifies a start of the process; absent until the process was contacted. */
     readonly incarnation?: string;
-    /** True for some seconds after this process failed to reach it. */
+    /** True for some seconds after this process failed to reach the member. */
     readonly suspect: boolean;
 }
 
 /**
- * What a process says about itself.
+ * The identity of a process, as it announces it to others.
  *
  * @public
  */
--- a/packages/config/src/lib/membership/Membership.test.ts
+++ b/packages/config/src/lib/membership/Membership.test.ts
@@ -43,7 +43,7 @@
     const { membership } = setUp();
     membership.updateList([host("x", 2)]);
     membership.sawHello({ process: "x", incarnation: "x#1" });
-    membership.sawLeaving("x", "x#1");
+    membership.recordLeaving("x", "x#1");
     assert.deepEqual(names(membership), ["me"]);
 });
 
@@ -69,21 +69,21 @@
     const { clock, membership } = setUp();
     membership.updateList([host("x", 2)]);
     membership.sawHello({ process: "x", incarnation: "x#1" });
-    membership.sawLeaving("x", "x#1");
+    membership.recordLeaving("x", "x#1");
     membership.sawHello({ process: "x", incarnation: "x#2" });
     clock.advance(100);
     membership.updateList([host("x", 2, "a", "leaving")]);
     membership.sawHello({ process: "x", incarnation: "x#1" });
-    membership.sawLeaving("x", "x#1");
+    membership.recordLeaving("x", "x#1");
     assert.equal(stateOf(membership, "x"), "live");
     clock.advance(100);
     membership.updateList([host("x", 2)]);
     clock.advance(100);
     membership.updateList([host("x", 2, "a", "leaving")]);
-    assert.equal(stateOf(membership, "x"), "leaving", "a later word of the list counts again");
+    assert.equal(stateOf(membership, "x"), "leaving", "a later leaving state in the list applies again");
 });
 
-test("one process that vanishes is dropped after the grace", () => {
+test("a single process that disappears from the list is evicted after the grace period", () => {
     const { clock, membership } = setUp();
     const all = [1, 2, 3, 4, 5, 6].map(port => host(`x${port}`, port + 10));
     membership.updateList(all);
@@ -118,20 +118,20 @@
     assert.deepEqual(names(membership), ["me", "x", "y"]);
 });
 
-test("a process that cannot be reached is no reader until it is heard again", () => {
+test("a process that cannot be reached is not a reader until its next contact or the end of the suspicion", () => {
     const { clock, membership } = setUp();
     membership.updateList([host("x", 2), host("y", 3)]);
     const first = membership.readers("a").find(one => one.process !== "me")!;
-    membership.sawFailure(first.process);
+    membership.recordFailure(first.process);
     assert(!membership.readers("a").some(one => one.process === first.process));
     membership.sawHello({ process: first.process, incarnation: "1" });
     assert(membership.readers("a").some(one => one.process === first.process));
-    membership.sawFailure(first.process);
+    membership.recordFailure(first.process);
     clock.advance(11_000);
     assert(membership.readers("a").some(one => one.process === first.process));
 });
 
-test("losing one process moves only its own place among readers", () => {
+test("the loss of a process leaves the ranking of the others unchanged", () => {
     const { clock, membership } = setUp();
     const all = Array.from({ length: 40 }, (_unused, index) => host(`x${index}`, index + 10));
     membership.updateList(all);
@@ -142,7 +142,7 @@
     assert.deepEqual(after, before.slice(1));
 });
 
-test("rankings that are kept are those that would be computed afresh", () => {
+test("reused rankings equal newly computed ones", () => {
     const step = fc.oneof(
         fc.record({ what: fc.constant("list" as const), hosts: fc.uniqueArray(fc.nat(9), { maxLength: 9 }) }),
         fc.record({ what: fc.constantFrom("fail" as const, "hello" as const, "leave" as const), who: fc.nat(9) }),
@@ -171,17 +171,17 @@
     }
     const process = `x${step.who}`;
     if (step.what === "fail") {
-        membership.sawFailure(process);
+        membership.recordFailure(process);
     }
     else if (step.what === "leave") {
-        membership.sawLeaving(process);
+        membership.recordLeaving(process);
     }
     else {
         membership.sawHello({ process, incarnation: `${process}#${membership.members().length}` });
     }
 }
 
-test("live lists travel as differences to the same digest", () => {
+test("applying the difference between two live lists gives the same list and digest", () => {
     const hosts = fc.uniqueArray(fc.record({ name: fc.nat(8), port: fc.nat(3) }), { selector: one => one.name });
     fc.assert(fc.property(fc.array(hosts, { minLength: 1, maxLength: 8 }), fc.nat(), (lists, at) => {
         const sender = new ListHistory();
--- a/packages/config/src/lib/membership/Membership.ts
+++ b/packages/config/src/lib/membership/Membership.ts
@@ -9,9 +9,12 @@
 const defaultGrace = 30_000;
 const defaultRetention = 3_600_000;
 const defaultStaleAfter = 30_000;
-const heardFor = 60_000;
-const massLossShare = 0.5;
-const massLossGroup = 4;
+/** Milliseconds after the last contact for which a process that is not in the list counts as live. */
+const contactLifetime = 60_000;
+/** The share of unreachable processes of a data centre above which its processes are retained longer. */
+const massLossThreshold = 0.5;
+/** The minimum number of processes of a data centre for which this share is considered. */
+const minMassLossGroup = 4;
 
 /**
  * Options of {@link Membership}.
@@ -21,44 +24,44 @@
 export interface MembershipOptions {
     readonly self: Self;
     readonly clock: Clock;
-    /** How many processes of each data centre read the store and the live list. */
+    /** The number of processes of each data centre that read the store and the live list. */
     readonly readers?: number;
-    /** Milliseconds for which a process is avoided after a failure to reach it. */
+    /** Milliseconds for which a process is suspect after a failure to reach it. */
     readonly suspicion?: number;
-    /** Milliseconds for which a process that the list dropped still counts as unreachable. */
+    /** Milliseconds for which a process is retained after it disappeared from the list. */
     readonly grace?: number;
-    /** The same, in milliseconds, when most of its data centre or region went with it. */
+    /** Milliseconds for which a process is retained if most of its data centre disappeared from the list with it. */
     readonly retention?: number;
-    /** The age at which the list counts as stale, in milliseconds. */
+    /** The age above which the list counts as stale, in milliseconds. */
     readonly staleAfter?: number;
 }
 
-/** What a process says of itself: a hello, or the part of it that another message repeats. */
-type Greeting = Pick<Self, "process" | "incarnation"> & Partial<Pick<Self, "dataCentre" | "region">> & {
+/** The fields of a hello, or the part of them that another message repeats. */
+type HelloFields = Pick<Self, "process" | "incarnation"> & Partial<Pick<Self, "dataCentre" | "region">> & {
     readonly role?: Self["role"] | "tool";
 };
 
-/** What is known of one process, from the list and from itself. */
+/** The known state of one process, from the list and from the process itself. */
 interface Entry {
     host: Omit<LiveHost, "state">;
-    /** Its state in the list; undefined when the list does not show it. */
-    listed?: LiveHost["state"];
-    /** When the list last showed it, while it does not; or when it was first heard of. */
+    /** The state in the list; undefined if the list does not contain the process. */
+    listedState?: LiveHost["state"];
+    /** When the process was last in the list, if it is not now; otherwise when it was first known. */
     absentSince: number;
-    heardAt: number;
+    lastContactAt: number;
     incarnation?: string;
-    /** The incarnation that announced that it leaves. */
+    /** The incarnation that announced that it is leaving. */
     leaving?: string;
-    /** True while the list may still speak of an earlier incarnation when it says `leaving`. */
-    listLags: boolean;
+    /** True while a `leaving` state in the list may refer to an earlier incarnation. */
+    isListOutdated: boolean;
     suspectUntil: number;
-    /** How it was last shown, and the place that it was shown with. */
-    shown?: { readonly host: Entry["host"]; readonly member: Member; };
+    /** The last member object built for this entry and the host it was built from, for reuse while nothing changes. */
+    cachedView?: { readonly host: Entry["host"]; readonly member: Member; };
 }
 
 /**
- * The processes of the system, from the platform's lagging list and from what processes tell each other. What a process
- * says itself goes before the list.
+ * The processes of the system, from the platform's live list, which may lag, and from messages between processes. The
+ * messages of a process take precedence over the list.
  *
  * @public
  */
@@ -67,10 +70,10 @@
     private readonly clock: Clock;
     private readonly options: Required<Omit<MembershipOptions, "self" | "clock">>;
     private readonly known = new Map<string, Entry>();
-    /** Processes that the list does not show. */
+    /** Processes that are not in the list. */
     private readonly absent = new Set<string>();
-    /** Earlier incarnations, which a late message must not bring back. */
-    private readonly replaced = new Set<string>();
+    /** Earlier incarnations, whose late messages are ignored. */
+    private readonly replacedIncarnations = new Set<string>();
     private readonly handlers = new Set<() => void>();
     private listReadAt = Number.NEGATIVE_INFINITY;
     private view = new MembershipView([], Number.NEGATIVE_INFINITY);
@@ -88,27 +91,27 @@
         };
         const now = clock.now();
         const { incarnation, ...host } = self;
-        const times = { absentSince: now, heardAt: now, suspectUntil: now };
-        this.known.set(self.process, { host, ...times, incarnation, listLags: false });
+        const times = { absentSince: now, lastContactAt: now, suspectUntil: now };
+        this.known.set(self.process, { host, ...times, incarnation, isListOutdated: false });
     }
 
-    /** Milliseconds since the platform's list was read, by whoever read it; infinite before the first. */
+    /** Milliseconds since the platform's list was read, by this or another process; infinite before the first list. */
     get listAge(): number {
         return this.clock.now() - this.listReadAt;
     }
 
-    /** True when the list is too old to be trusted about absence: nobody is dropped then. */
+    /** True if the list is too old to infer that a process is gone. Processes are evicted only after a newer list. */
     get stale(): boolean {
         return this.listAge > this.options.staleAfter;
     }
 
-    /** Adds a function that runs after a change. Returns the function that removes it. */
+    /** Adds a handler that runs after each change. Returns a function that removes the handler. */
     onChange(handler: () => void): () => void {
         this.handlers.add(handler);
         return () => void this.handlers.delete(handler);
     }
 
-    /** Every known process, this one included. */
+    /** All known processes, including this one. */
     members(): readonly Member[] {
         return this.currentView().members;
     }
@@ -119,10 +122,10 @@
     }
 
     /**
-     * The entries.
+     * The live entries.
      *
-     * @param unreachable - True to count those that are cut off: shares and limits that are divided among entries keep
-     * their part, since they may still serve callers on their side.
+     * @param unreachable - True to include unreachable entries. Shares and limits that are divided among entries count
+     * them, because an entry that is cut off may still serve callers on its side.
      */
     entries({ unreachable = false }: { unreachable?: boolean; } = {}): Member[] {
         return this.members().filter(({ role, state }) =>
@@ -135,7 +138,7 @@
         return this.members().filter(({ role, state }) => role === "agent" && state === "live");
     }
 
-    /** The processes that read the store for a data centre, the first in line first. */
+    /** The processes that read the store for a data centre, highest rank first. */
     readers(dataCentre: string): Member[] {
         return this.ranked(dataCentre).slice(0, this.options.readers);
     }
@@ -146,10 +149,10 @@
     }
 
     /**
-     * Takes a list.
+     * Applies a list.
      *
-     * @param age - Milliseconds since it was read. A list older than the last one changes nothing.
-     * @returns Whether the list was taken.
+     * @param age - Milliseconds since the list was read. A list older than the last one is ignored.
+     * @returns Whether the list was applied.
      */
     updateList(hosts: readonly LiveHost[], age = 0): boolean {
         const readAt = this.clock.now() - age;
@@ -164,29 +167,32 @@
         }
         this.listReadAt = readAt;
         hosts.forEach(host => this.updateFromList(host, readAt));
-        this.drop();
-        this.announce();
+        this.evictAbsent();
+        this.notifyHandlers();
         return true;
     }
 
-    /** Notes that the list was read again at some age and had not changed. */
+    /** Records that the list was read again `age` milliseconds ago without a change. */
     confirmList(age: number): void {
         const readAt = this.clock.now() - age;
         if (readAt <= this.listReadAt) {
             return;
         }
         this.listReadAt = readAt;
-        if (this.drop()) {
-            this.announce();
+        if (this.evictAbsent()) {
+            this.notifyHandlers();
         }
     }
 
-    /** Takes what a process said of itself when a link to it opened, or in any later message. */
-    sawHello(hello: Greeting, address?: Address): void {
-        if (hello.role === "tool" || this.replaced.has(hello.incarnation) || hello.process === this.self.process) {
+    /** Records the identity that a process announced when a link to it opened, or in a later message. */
+    sawHello(hello: HelloFields, address?: Address): void {
+        if (
+            hello.role === "tool" || this.replacedIncarnations.has(hello.incarnation)
+            || hello.process === this.self.process
+        ) {
             return;
         }
-        const entry = this.known.get(hello.process) ?? this.addHeard(hello, address);
+        const entry = this.known.get(hello.process) ?? this.addFromHello(hello, address);
         if (entry === undefined) {
             return;
         }
@@ -197,41 +203,41 @@
         if (entry.suspectUntil > now) {
             this.viewChanged = true;
         }
-        entry.heardAt = now;
+        entry.lastContactAt = now;
         entry.suspectUntil = now;
         if (entry.incarnation === hello.incarnation) {
             return;
         }
         if (entry.incarnation !== undefined) {
-            this.replaced.add(entry.incarnation);
-            entry.listLags = true;
+            this.replacedIncarnations.add(entry.incarnation);
+            entry.isListOutdated = true;
         }
         entry.incarnation = hello.incarnation;
-        this.announce();
+        this.notifyHandlers();
     }
 
-    /** Takes a process's own announcement that it leaves. */
-    sawLeaving(process: string, incarnation?: string): void {
+    /** Records the announcement of a process that it is leaving. */
+    recordLeaving(process: string, incarnation?: string): void {
         const entry = this.known.get(process);
-        if (entry === undefined || (incarnation !== undefined && this.replaced.has(incarnation))) {
+        if (entry === undefined || (incarnation !== undefined && this.replacedIncarnations.has(incarnation))) {
             return;
         }
         entry.incarnation = incarnation ?? entry.incarnation ?? "unknown";
         entry.leaving = entry.incarnation;
-        this.announce();
+        this.notifyHandlers();
     }
 
-    /** Notes that a process could not be reached. */
-    sawFailure(process: string): void {
+    /** Records that a process could not be reached, which makes it suspect. */
+    recordFailure(process: string): void {
         const entry = this.known.get(process);
         if (entry !== undefined && process !== this.self.process) {
             entry.suspectUntil = this.clock.now() + this.options.suspicion;
-            this.announce();
+            this.notifyHandlers();
         }
     }
 
     /** Finds the process that listens at an address. */
-    at({ host, port }: Address): Member | undefined {
+    findByAddress({ host, port }: Address): Member | undefined {
         return this.members().find(one => one.host === host && one.port === port);
     }
 
@@ -240,45 +246,49 @@
         if (this.viewChanged || this.view.until <= now) {
             const entries = [...this.known.values()];
             const until = entries.reduce((least, entry) => Math.min(least, this.nextExpiry(entry, now)), Infinity);
-            this.view = new MembershipView(entries.map(entry => this.describe(entry, now)), until, this.view);
+            this.view = new MembershipView(entries.map(entry => this.describeMember(entry, now)), until, this.view);
             this.viewChanged = false;
         }
         return this.view;
     }
 
-    /** When the state of an entry changes if nothing more is heard. */
-    private nextExpiry({ suspectUntil, heardAt, listed }: Entry, now: number): number {
+    /** The time at which the state of an entry changes if there is no further contact with the process. */
+    private nextExpiry({ suspectUntil, lastContactAt, listedState }: Entry, now: number): number {
         const suspicion = suspectUntil > now ? suspectUntil : Infinity;
-        const silence = listed === undefined && heardAt + heardFor > now ? heardAt + heardFor : Infinity;
+        const silence = listedState === undefined && lastContactAt + contactLifetime > now
+            ? lastContactAt + contactLifetime
+            : Infinity;
         return Math.min(suspicion, silence);
     }
 
-    private describe(entry: Entry, now: number): Member {
-        const { host, incarnation, suspectUntil, shown } = entry;
+    private describeMember(entry: Entry, now: number): Member {
+        const { host, incarnation, suspectUntil, cachedView } = entry;
         const state = this.stateOf(entry);
         const suspect = suspectUntil > now;
-        const known = shown?.host === host ? shown.member : undefined;
+        const known = cachedView?.host === host ? cachedView.member : undefined;
         const same = known?.state === state && known.suspect === suspect && known.incarnation === incarnation;
         const member = same ? known : { ...host, state, incarnation, suspect };
-        entry.shown = { host, member };
+        entry.cachedView = { host, member };
         return member;
     }
 
     private stateOf(entry: Entry): Member["state"] {
         const leaves = entry.leaving !== undefined && entry.leaving === entry.incarnation;
-        if (leaves || (entry.listed === "leaving" && !entry.listLags)) {
+        if (leaves || (entry.listedState === "leaving" && !entry.isListOutdated)) {
             return "leaving";
         }
-        const heard = this.clock.now() - entry.heardAt < heardFor;
-        return entry.listed !== undefined || heard || entry.host.process === this.self.process ? "live" : "unreachable";
+        const hasRecentContact = this.clock.now() - entry.lastContactAt < contactLifetime;
+        return entry.listedState !== undefined || hasRecentContact || entry.host.process === this.self.process
+            ? "live"
+            : "unreachable";
     }
 
     private markAbsent(entry: Entry): void {
-        if (entry.listed !== undefined) {
-            entry.listed = undefined;
+        if (entry.listedState !== undefined) {
+            entry.listedState = undefined;
             entry.absentSince = this.listReadAt;
         }
-        entry.listLags = false;
+        entry.isListOutdated = false;
         this.absent.add(entry.host.process);
     }
 
@@ -286,31 +296,35 @@
         this.absent.delete(host.process);
         const entry = this.known.get(host.process);
         if (entry === undefined) {
-            const times = { absentSince: readAt, heardAt: Number.NEGATIVE_INFINITY, suspectUntil: readAt };
-            this.known.set(host.process, { host, listed: state, ...times, listLags: false });
+            const times = { absentSince: readAt, lastContactAt: Number.NEGATIVE_INFINITY, suspectUntil: readAt };
+            this.known.set(host.process, { host, listedState: state, ...times, isListOutdated: false });
             return;
         }
         entry.host = isSamePlace(entry.host, host) ? entry.host : host;
-        entry.listed = state;
-        entry.listLags &&= state === "leaving";
+        entry.listedState = state;
+        entry.isListOutdated &&= state === "leaving";
     }
 
-    private addHeard(hello: Greeting, address: Address | undefined): Entry | undefined {
+    private addFromHello(hello: HelloFields, address: Address | undefined): Entry | undefined {
         const { process, role, dataCentre, region = "" } = hello;
         if (role === undefined || role === "tool" || dataCentre === undefined || address === undefined) {
             return undefined;
         }
         const { host, port } = address;
         const now = this.clock.now();
-        const times = { absentSince: now, heardAt: now, suspectUntil: now };
-        const entry: Entry = { host: { process, role, host, port, dataCentre, region }, ...times, listLags: false };
+        const times = { absentSince: now, lastContactAt: now, suspectUntil: now };
+        const entry: Entry = {
+            host: { process, role, host, port, dataCentre, region },
+            ...times,
+            isListOutdated: false,
+        };
         this.known.set(process, entry);
         this.absent.add(process);
-        this.announce();
+        this.notifyHandlers();
         return entry;
     }
 
-    /** Whoever answered last at an address is there; another process that the list still shows there is gone. */
+    /** Assigns an address to the process that answered there, and marks other processes at this address as leaving. */
     private replaceAddress(entry: Entry, { host, port }: Address): void {
         if (entry.host.host !== host || entry.host.port !== port) {
             entry.host = { ...entry.host, host, port };
@@ -322,8 +336,8 @@
         }
     }
 
-    /** Forgets processes that the list no longer shows, unless most of their data centre vanished with them. */
-    private drop(): boolean {
+    /** Evicts expired processes that are not in the list; if most of a data centre disappeared, after a longer time. */
+    private evictAbsent(): boolean {
         if (this.absent.size === 0) {
             return false;
         }
@@ -336,22 +350,22 @@
         let dropped = false;
         for (const group of groups.values()) {
             const lost = group.filter(entry => this.stateOf(entry) === "unreachable");
-            const mass = group.length >= massLossGroup && lost.length > group.length * massLossShare;
+            const mass = group.length >= minMassLossGroup && lost.length > group.length * massLossThreshold;
             const limit = mass ? this.options.retention : this.options.grace;
-            const gone = group.filter(entry => this.isGone(entry, limit));
-            gone.forEach(entry => this.forget(entry.host.process));
+            const gone = group.filter(entry => this.isExpired(entry, limit));
+            gone.forEach(entry => this.remove(entry.host.process));
             dropped ||= gone.length > 0;
         }
         return dropped;
     }
 
-    private forget(process: string): void {
+    private remove(process: string): void {
         this.known.delete(process);
         this.absent.delete(process);
     }
 
-    private isGone(entry: Entry, limit: number): boolean {
-        if (entry.listed !== undefined || entry.host.process === this.self.process) {
+    private isExpired(entry: Entry, limit: number): boolean {
+        if (entry.listedState !== undefined || entry.host.process === this.self.process) {
             return false;
         }
         const state = this.stateOf(entry);
@@ -359,7 +373,7 @@
         return state === "leaving" ? absent > this.options.grace : state === "unreachable" && absent > limit;
     }
 
-    private announce(): void {
+    private notifyHandlers(): void {
         this.viewChanged = true;
         [...this.handlers].forEach(handler => handler());
     }
--- a/packages/config/src/lib/membership/MembershipView.ts
+++ b/packages/config/src/lib/membership/MembershipView.ts
@@ -7,22 +7,22 @@
 }
 
 /**
- * The members at one moment, with look-ups that are built once and kept until something changes.
+ * The members at a point in time, with indexes that are built once and reused until something changes.
  *
  * @internal
  */
 export class MembershipView {
     private readonly rankings = new Map<string, Ranking>();
-    private readonly earlier: ReadonlyMap<string, Ranking>;
+    private readonly previousRankings: ReadonlyMap<string, Ranking>;
     private centres: ReadonlyMap<string, readonly Member[]> | undefined;
 
     /**
-     * @param members - The members; one that has not changed is the same object as before.
-     * @param until - When the view is out of date by the passing of time alone.
-     * @param previous - The view before, whose rankings serve for data centres that have not changed.
+     * @param members - The members; an unchanged member is the same object as in the previous view.
+     * @param until - The time at which the view expires even without an event.
+     * @param previous - The previous view, whose rankings are reused for data centres that have not changed.
      */
     constructor(readonly members: readonly Member[], readonly until: number, previous?: MembershipView) {
-        this.earlier = previous?.rankings ?? new Map<string, Ranking>();
+        this.previousRankings = previous?.rankings ?? new Map<string, Ranking>();
     }
 
     /** The names of all data centres. */
@@ -37,7 +37,7 @@
             return known.ranked;
         }
         const usable = (this.byCentre().get(dataCentre) ?? []).filter(one => one.state === "live" && !one.suspect);
-        const earlier = this.earlier.get(dataCentre);
+        const earlier = this.previousRankings.get(dataCentre);
         const same = earlier !== undefined && areSame(earlier.usable, usable);
         const ranking = same ? earlier : { usable, ranked: rankByWeight(`reader/${dataCentre}`, usable) };
         this.rankings.set(dataCentre, ranking);
--- a/packages/config/src/lib/membership/rendezvous.ts
+++ b/packages/config/src/lib/membership/rendezvous.ts
@@ -4,13 +4,13 @@
 const cacheLimit = 200_000;
 
 /**
- * The weight of a name for a place. Who has the highest weights holds the place; when one leaves, only its own places
- * move, and every process computes the same without a message.
+ * The rendezvous hashing weight of a name for a slot. The names with the highest weights hold the slot. If a process
+ * leaves, only its own slots move, and all processes compute the same result without communication.
  *
  * @internal
  */
-export function rendezvousWeight(place: string, name: string): number {
-    const key = `${place}\n${name}`;
+export function rendezvousWeight(slot: string, name: string): number {
+    const key = `${slot}\n${name}`;
     const known = cache.get(key);
     if (known !== undefined) {
         return known;
@@ -23,9 +23,9 @@
     return weight;
 }
 
-/** Sorts by weight for a place, the highest first. @internal */
-export function rankByWeight<T extends { readonly process: string; }>(place: string, items: readonly T[]): T[] {
-    const weighed = items.map(item => ({ item, weight: rendezvousWeight(place, item.process) }));
+/** Sorts items by their weight for a slot, highest first. @internal */
+export function rankByWeight<T extends { readonly process: string; }>(slot: string, items: readonly T[]): T[] {
+    const weighed = items.map(item => ({ item, weight: rendezvousWeight(slot, item.process) }));
     weighed.sort((a, b) => b.weight - a.weight || (a.item.process < b.item.process ? -1 : 1));
     return weighed.map(({ item }) => item);
 }
--- a/packages/config/src/lib/revisions/LogEntry.ts
+++ b/packages/config/src/lib/revisions/LogEntry.ts
@@ -2,13 +2,13 @@
 import { type Kind, type Resource, specSchemas } from "../resources/Resource.js";
 import { nameSchema } from "../resources/specs.js";
 
-/** Every kind of resource, in the order in which references point from right to left. @public */
+/** All kinds of resources. Except for a target's service, references point to a kind earlier in this list. @public */
 export const kinds = Object.keys(specSchemas) as Kind[];
 
 /** @internal */
 export const kindSchema = z.enum(kinds as [Kind, ...Kind[]]);
 
-/** A resource set to a spec, or removed when there is no spec. @internal */
+/** A resource that is set to a spec, or removed if there is no spec. @internal */
 export const changeSchema = z.object({
     kind: kindSchema,
     name: nameSchema,
@@ -16,32 +16,32 @@
 });
 
 /**
- * A change of one resource, as the log holds it.
+ * A change of one resource, as stored in the log.
  *
  * @public
  */
 export type Change = z.infer<typeof changeSchema>;
 
 /**
- * One revision: changes that took effect together.
+ * An entry of the revision log: changes that took effect atomically.
  *
  * @internal
  */
 export const logEntrySchema = z.object({
     revision: z.number().int().positive(),
-    /** The write id of the transaction that stored it. */
+    /** The write ID of the transaction that stored the entry. */
     writeId: z.string(),
-    /** The id that the operator gave the change; a repeated request with the same id is answered from the log. */
+    /** The ID that the operator gave the change. A repeated request with the same ID gets the original result. */
     changeId: z.string(),
     changes: z.array(changeSchema),
-    /** The order-free sum over all resources after this revision. */
+    /** The order-independent content sum over all resources after this revision. */
     content: z.string(),
-    /** The digest chain up to this revision. */
+    /** The digest of the chain up to this revision. */
     digest: z.string(),
 });
 
 /**
- * One revision: changes that took effect together.
+ * An entry of the revision log: changes that took effect atomically.
  *
  * @public
  */
@@ -68,7 +68,7 @@
 }
 
 /**
- * The row that counts revisions.
+ * The head row, which holds the newest revision.
  *
  * @internal
  */
@@ -81,7 +81,7 @@
 /** @internal */
 export type Head = z.infer<typeof headSchema>;
 
-/** The key of a resource in maps and in the store's rows. @internal */
+/** The key of a resource in maps, and the last part of the key of its row in the store. @internal */
 export function resourceKey(kind: Kind, name: string): string {
     return `${kind}/${name}`;
 }
--- a/packages/config/src/lib/revisions/RevisionState.test.ts
+++ b/packages/config/src/lib/revisions/RevisionState.test.ts
@@ -7,21 +7,21 @@
 const length = 30;
 const { entries, snapshots } = buildLog();
 
-const offer = fc.oneof(
+const input = fc.oneof(
     fc.record({ kind: fc.constant("entries" as const), from: fc.nat(length - 1), count: fc.nat(8) }),
     fc.record({ kind: fc.constant("snapshot" as const), at: fc.nat(length) }),
     fc.record({ kind: fc.constant("forged" as const), at: fc.nat(length - 1) }),
     fc.record({ kind: fc.constant("forgedSnapshot" as const), at: fc.nat(length) }),
 );
-type OfferOf = typeof offer extends fc.Arbitrary<infer T> ? T : never;
+type Input = typeof input extends fc.Arbitrary<infer T> ? T : never;
 
 test("whatever is offered in whatever order, the state only moves forward along the log", () => {
-    fc.assert(fc.property(fc.array(offer, { maxLength: 40 }), offers => {
+    fc.assert(fc.property(fc.array(input, { maxLength: 40 }), inputs => {
         const applied: number[] = [];
         const state = new RevisionState({ retained: 5, onApplied: revision => applied.push(revision) });
-        for (const one of offers) {
+        for (const one of inputs) {
             const before = state.revision;
-            give(state, one);
+            applyInput(state, one);
             assert(state.revision >= before, "the state moved back");
             assert.deepEqual(contentOf(state.snapshot()), contentOf(snapshots[state.revision]!));
         }
@@ -29,7 +29,7 @@
     }));
 });
 
-test("another log of the same length is found out, and left for a snapshot of a higher revision", () => {
+test("entries of a diverged log are rejected until a snapshot of a higher revision is loaded", () => {
     const state = new RevisionState();
     state.apply([nextEntry(state, [{ kind: "service", name: "other", spec: {} }], { writeId: "w", changeId: "c" })]);
     assert.equal(state.apply(entries), "diverged");
@@ -39,7 +39,7 @@
     assert.equal(state.revision, length);
 });
 
-test("entries are handed on from any revision that is kept, else a snapshot is asked for", () => {
+test("entries are available after each retained revision, and none before that", () => {
     const state = new RevisionState({ retained: 5 });
     state.apply(entries);
     for (let revision = 0; revision <= length; revision++) {
@@ -48,7 +48,7 @@
     }
 });
 
-function give(state: RevisionState, one: OfferOf): void {
+function applyInput(state: RevisionState, one: Input): void {
     switch (one.kind) {
         case "entries":
             state.apply(entries.slice(one.from, one.from + one.count));
@@ -82,7 +82,7 @@
     return { entries: built, snapshots: taken };
 }
 
-/** A snapshot without the order of its resources, which is not part of the state. */
+/** The parts of a snapshot that do not depend on the order of its resources. */
 function contentOf({ revision, digest, content, resources }: Snapshot) {
     return { revision, digest, content, names: resources.map(one => `${one.name} ${one.resourceVersion}`).sort() };
 }
--- a/packages/config/src/lib/revisions/RevisionState.ts
+++ b/packages/config/src/lib/revisions/RevisionState.ts
@@ -6,13 +6,13 @@
 const defaultRetained = 1024;
 
 /**
- * What became of entries or a snapshot that were offered:
- * `applied` moved to a higher revision, `current` brought nothing new, `gap` lacks the next revision, and `diverged`
- * does not continue the digest chain of this process or fails its own sums.
+ * The result of applying entries or loading a snapshot: `applied` if the state moved to a higher revision, `current` if
+ * nothing was new, `gap` if the next revision is missing, and `diverged` if the data does not continue the digest chain
+ * of this process or does not match its content sum.
  *
  * @public
  */
-export type Offer = "applied" | "current" | "gap" | "diverged";
+export type ApplyResult = "applied" | "current" | "gap" | "diverged";
 
 /**
  * Options of {@link RevisionState}.
@@ -20,15 +20,15 @@
  * @public
  */
 export interface RevisionStateOptions {
-    /** How many recent entries are kept to answer others. */
+    /** How many recent entries are retained for other processes that request them. */
     readonly retained?: number;
-    /** Runs after each move, before the change handlers. */
+    /** Runs after each change to a higher revision, before the change handlers. */
     readonly onApplied?: (revision: number, digest: string) => void;
 }
 
 /**
- * The configuration in force in one process, as a pure state: it takes the next revisions in order from whoever brings
- * them, checks them, and never moves back.
+ * The configuration in force in one process, as a state without I/O. It applies and verifies revisions in order,
+ * regardless of where they come from, and never returns to an earlier one.
  *
  * @public
  */
@@ -38,7 +38,7 @@
     private resources = new Map<string, Resource>();
     private byKind = new Map<Kind, Resource[]>();
     private entries: LogEntry[] = [];
-    /** The digest of the revision before the first entry that is kept. */
+    /** The digest of the revision before the first retained entry. */
     private oldestDigest = emptyDigest;
     private readonly handlers = new Set<(revision: number) => void>();
     private current = 0;
@@ -54,12 +54,12 @@
         return this.current;
     }
 
-    /** The digest chain up to the revision in force. */
+    /** The digest of the chain up to the revision in force. */
     get digest(): string {
         return this.currentDigest;
     }
 
-    /** The order-free sum over the resources in force. */
+    /** The order-independent content sum over the resources in force. */
     get content(): string {
         return this.currentContent;
     }
@@ -87,7 +87,7 @@
         return () => void this.handlers.delete(handler);
     }
 
-    /** Every resource, as a snapshot that another process can load. */
+    /** Returns all resources as a snapshot that another process can load. */
     snapshot(): Snapshot {
         return {
             revision: this.current,
@@ -98,10 +98,10 @@
     }
 
     /**
-     * The entries after a revision.
+     * Returns the entries after a revision.
      *
-     * @param digest - The beginning of the asker's digest at that revision, where it should be compared.
-     * @returns Undefined when the log no longer reaches back so far, or when the asker's digest differs; the asker then
+     * @param digest - A prefix of the requester's digest at that revision; empty to skip the comparison.
+     * @returns Undefined if the entries are no longer retained or the requester's digest differs; the requester then
      * needs a snapshot.
      */
     since(revision: number, digest = ""): readonly LogEntry[] | undefined {
@@ -114,7 +114,7 @@
         return this.entries.slice(revision - this.oldest);
     }
 
-    /** The digest of a revision that is in force or still in the log. */
+    /** Returns the digest of the revision in force or of one whose entry is retained. */
     digestAt(revision: number): string | undefined {
         if (revision === this.current) {
             return this.currentDigest;
@@ -125,10 +125,10 @@
         return this.entries[revision - this.oldest - 1]?.digest;
     }
 
-    /** Applies those of the entries that come next. Older ones are skipped, so that anyone may bring anything. */
-    apply(entries: readonly LogEntry[]): Offer {
+    /** Applies entries in order. Entries already in force are skipped, so callers may pass overlapping ranges. */
+    apply(entries: readonly LogEntry[]): ApplyResult {
         const start = this.current;
-        let result: Offer = "current";
+        let result: ApplyResult = "current";
         for (const entry of entries) {
             result = this.applyEntry(entry);
             if (result === "gap" || result === "diverged") {
@@ -138,12 +138,12 @@
         if (this.current === start) {
             return result;
         }
-        this.announce();
+        this.notifyHandlers();
         return result === "gap" || result === "diverged" ? result : "applied";
     }
 
-    /** Replaces all resources, if the snapshot is of a higher revision and its sum is right. */
-    load(snapshot: Snapshot): Offer {
+    /** Replaces all resources if the snapshot has a higher revision and matches its content sum. */
+    load(snapshot: Snapshot): ApplyResult {
         if (snapshot.revision <= this.current) {
             return "current";
         }
@@ -153,12 +153,12 @@
         this.resources = new Map(snapshot.resources.map(one => [resourceKey(one.kind, one.name), one]));
         this.entries = [];
         this.oldestDigest = snapshot.digest;
-        this.move(snapshot.revision, snapshot.digest, snapshot.content);
-        this.announce();
+        this.moveTo(snapshot.revision, snapshot.digest, snapshot.content);
+        this.notifyHandlers();
         return "applied";
     }
 
-    private applyEntry(entry: LogEntry): Offer {
+    private applyEntry(entry: LogEntry): ApplyResult {
         if (entry.revision <= this.current) {
             return "current";
         }
@@ -175,7 +175,7 @@
         entry.changes.forEach(change => this.resources.delete(resourceKey(change.kind, change.name)));
         added.forEach(one => this.resources.set(resourceKey(one.kind, one.name), one));
         this.keepEntry(entry);
-        this.move(entry.revision, digest, content);
+        this.moveTo(entry.revision, digest, content);
         return "applied";
     }
 
@@ -186,14 +186,14 @@
         }
     }
 
-    private move(revision: number, digest: string, content: string): void {
+    private moveTo(revision: number, digest: string, content: string): void {
         this.current = revision;
         this.currentDigest = digest;
         this.currentContent = content;
         this.byKind.clear();
     }
 
-    private announce(): void {
+    private notifyHandlers(): void {
         this.onApplied(this.current, this.currentDigest);
         for (const handler of [...this.handlers]) {
             handler(this.current);
@@ -202,7 +202,7 @@
 }
 
 /**
- * Builds the entry that follows a state.
+ * Builds the log entry that follows a state.
  *
  * @public
  */
--- a/packages/config/src/lib/revisions/StoreLog.ts
+++ b/packages/config/src/lib/revisions/StoreLog.ts
@@ -6,20 +6,21 @@
 import { emptyDigest, replaceContent } from "./digest.js";
 import { type Head, headSchema, type LogEntry, logEntrySchema, resourceKey, resourceSchema } from "./LogEntry.js";
 import { headKey, type HeadRow, logKey, logPrefix, resourcePrefix, resourceRowKey } from "./logRows.js";
-import { type Offer, RevisionState } from "./RevisionState.js";
+import { type ApplyResult, RevisionState } from "./RevisionState.js";
 
-const pageRows = 500;
-const singleReads = 8;
+const rowsPerPage = 500;
+/** The maximum number of rows that are read individually instead of by scanning. */
+const maxSingleReads = 8;
 const snapshotAttempts = 4;
 
 /**
- * Reads revisions from the table store.
+ * Reads revisions from the table store, and restores revisions that the store lost.
  *
  * @public
  */
 export class StoreLog {
-    /** The era of the store in which its log was last found to hold all that is in force here. */
-    private wholeEra = 0;
+    /** The store era in which the log was last verified to hold all revisions in force in this process. */
+    private verifiedEra = 0;
 
     constructor(readonly store: TableStore) {}
 
@@ -39,48 +40,49 @@
         });
     }
 
-    /** Reads entries after a revision, at most one page. Rows behind a missing one are left out by the state. */
+    /** Reads up to one page of entries after a revision. If a row is missing, the state ignores those behind it. */
     async entries(after: number): Promise<Outcome<LogEntry[]>> {
-        const rows = await this.store.scan(logPrefix, logKey(after), pageRows);
+        const rows = await this.store.scan(logPrefix, logKey(after), rowsPerPage);
         return rows.andThen(found => parseRows(found, value => logEntrySchema.safeParse(value)));
     }
 
     /**
-     * Brings a state up to what the store holds, and the store up to the state where it came back from a copy.
+     * Updates a state to the newest revision in the store. If the store was restored from an older copy, also writes
+     * the entries that it lost back from the state.
      *
-     * @returns What the last step brought; the state never moves back.
+     * @returns The result of the last update of the state.
      */
-    async advance(state: RevisionState): Promise<Outcome<Offer>> {
-        const offer = await this.readOn(state);
+    async advance(state: RevisionState): Promise<Outcome<ApplyResult>> {
+        const result = await this.applyNewEntries(state);
         const { era } = this.store;
-        if (offer.isErr || era === this.wholeEra) {
-            return offer;
+        if (result.isErr || era === this.verifiedEra) {
+            return result;
         }
         const restored = await restoreEntries(this, state);
         if (restored.isErr) {
             return Result.err(restored.error);
         }
-        this.wholeEra = era;
-        return offer;
+        this.verifiedEra = era;
+        return result;
     }
 
-    private async readOn(state: RevisionState): Promise<Outcome<Offer>> {
+    private async applyNewEntries(state: RevisionState): Promise<Outcome<ApplyResult>> {
         for (;;) {
             const entries = await this.entries(state.revision);
             if (entries.isErr) {
                 return Result.err(entries.error);
             }
-            const offer = state.apply(entries.value);
-            if (offer === "gap" || offer === "diverged") {
+            const result = state.apply(entries.value);
+            if (result === "gap" || result === "diverged") {
                 return this.advanceBySnapshot(state);
             }
-            if (entries.value.length < pageRows) {
-                return Result.ok(offer);
+            if (entries.value.length < rowsPerPage) {
+                return Result.ok(result);
             }
         }
     }
 
-    private async advanceBySnapshot(state: RevisionState): Promise<Outcome<Offer>> {
+    private async advanceBySnapshot(state: RevisionState): Promise<Outcome<ApplyResult>> {
         for (let attempt = 0; attempt < snapshotAttempts; attempt++) {
             const copy = await this.readSnapshot();
             if (copy.isErr) {
@@ -90,12 +92,17 @@
                 return Result.ok(state.load(copy.value.snapshot()));
             }
         }
-        return Result.err(failure(platformCodes.storeUnavailable, "the store's resources do not match its log"));
+        return Result.err(
+            failure(
+                platformCodes.storeUnavailable,
+                "the resources in the store do not match the content sum of its log",
+            ),
+        );
     }
 
     /**
-     * Reads all resources while changes go on: the rows may be of different moments, so the entries since the start are
-     * applied over them, and the result counts only if its sum is the one in the log.
+     * Reads all resources while changes may be in progress. The rows may come from different revisions, so the entries
+     * since the start are applied over them. The result is undefined unless it matches the content sum in the log.
      */
     private async readSnapshot(): Promise<Outcome<RevisionState | undefined>> {
         const head = await this.head();
@@ -114,14 +121,14 @@
     }
 
     /**
-     * Reads the rows of resources: one by one when they are few, else all rows of their kinds, which costs a read for
-     * each page instead of one for each row.
+     * Reads the rows of resources: individually if they are few, otherwise all rows of their kinds, which needs one
+     * read per page instead of one per row.
      *
      * @param keys - The resources, as `kind/name`.
-     * @returns Rows by their keys; rows of other resources may be among them, and missing ones are left out.
+     * @returns Rows by key. Missing rows are omitted, and rows of other resources may be included.
      */
     async resourceRows(keys: readonly string[]): Promise<Outcome<Map<string, Row>>> {
-        const few = keys.length <= singleReads;
+        const few = keys.length <= maxSingleReads;
         const prefixes = new Set(keys.map(key => resourceRowKey(key.slice(0, key.indexOf("/") + 1))));
         const reads = few
             ? keys.map(key => () => this.readRow(key))
@@ -151,13 +158,13 @@
     private async scanAll(prefix: string): Promise<Outcome<Row[]>> {
         const found: Row[] = [];
         for (let after = "";;) {
-            const rows = await this.store.scan(prefix, after, pageRows);
+            const rows = await this.store.scan(prefix, after, rowsPerPage);
             if (rows.isErr) {
                 return rows;
             }
             found.push(...rows.value);
             const last = rows.value.at(-1);
-            if (last === undefined || rows.value.length < pageRows) {
+            if (last === undefined || rows.value.length < rowsPerPage) {
                 return Result.ok(found);
             }
             after = last.key;
--- a/packages/config/src/lib/revisions/digest.ts
+++ b/packages/config/src/lib/revisions/digest.ts
@@ -6,11 +6,11 @@
 const contentMask = (1n << contentBits) - 1n;
 const digestCharacters = 32;
 
-/** The digest and the content of the state before the first revision. @internal */
+/** The digest and the content sum of the state before the first revision. @internal */
 export const emptyDigest = "0".repeat(digestCharacters);
 
 /**
- * Writes a value as JSON with sorted keys, so that equal values give equal text.
+ * Serialises a value as JSON with sorted keys, so that equal values give equal text.
  *
  * @internal
  */
@@ -19,7 +19,7 @@
 }
 
 /**
- * The next link of the digest chain. Two processes whose digests are equal at a revision have applied the same entries.
+ * Computes the next digest of the chain. Two processes with equal digests at a revision have applied the same entries.
  *
  * @internal
  */
@@ -29,10 +29,10 @@
 }
 
 /**
- * Replaces resources in a content sum. The sum does not depend on the order of resources, so it can be kept up to date
- * by each entry and also be computed from a snapshot; that is how a snapshot with a stale part is found out.
+ * Replaces resources in a content sum. The sum does not depend on the order of resources, so it can be updated
+ * incrementally with each entry and also be computed from a snapshot. A snapshot with stale parts gives another sum.
  *
- * @param content - The sum so far, in hexadecimal.
+ * @param content - The sum before the replacement, in hexadecimal.
  * @internal
  */
 export function replaceContent(content: string, removed: readonly Resource[], added: readonly Resource[]): string {
--- a/packages/config/src/lib/revisions/logRows.ts
+++ b/packages/config/src/lib/revisions/logRows.ts
@@ -1,6 +1,6 @@
 import { type Head } from "./LogEntry.js";
 
-/** The key of the row that counts revisions. @public */
+/** The key of the head row, which holds the newest revision. @public */
 export const headKey = "config/head";
 
 /** @internal */
@@ -10,12 +10,12 @@
 
 const revisionDigits = 16;
 
-/** The head row with the version that a conditional write needs. @internal */
+/** The head row with the row version that conditional writes require. @internal */
 export interface HeadRow extends Head {
     readonly version: number;
 }
 
-/** The row key of a log entry. Padded, so that keys sort as revisions do. @internal */
+/** The row key of a log entry. The revision is zero-padded so that keys sort in revision order. @internal */
 export function logKey(revision: number): string {
     return logPrefix + revision.toString().padStart(revisionDigits, "0");
 }
--- a/packages/config/src/lib/testing/SimulatedSite.ts
+++ b/packages/config/src/lib/testing/SimulatedSite.ts
@@ -19,19 +19,20 @@
 import { parseDesired } from "../validation/parseDesired.js";
 
 const basePort = 1000;
-const timePerHop = 2;
+/** Milliseconds that a message takes in one direction. */
+const hopLatency = 2;
 
-/** One simulated process with its own way to the store and to its peers. @internal */
+/** A simulated process whose connections to the store and to its peers can fail independently. @internal */
 export class SimulatedProcess {
-    /** Answers nobody and reaches nobody, although connections to it stay open. */
+    /** True if the process neither sends nor answers messages, although connections to it stay open. */
     hung = false;
-    /** Connections to it are refused. */
+    /** True if connections to the process are refused. */
     dead = false;
-    /** Milliseconds that each message to or from it takes more. */
+    /** Additional latency in milliseconds of each message to or from the process. */
     slowness = 0;
-    /** False cuts this process off from the store and the live list. */
+    /** False if the process cannot reach the store and the live list. */
     reachesStore = true;
-    /** While set, reads of the store answer from this copy. */
+    /** While set, reads of the store return these rows. */
     staleRows: Row[] | undefined;
     node!: ConfigurationNode;
     store!: ResourceStore;
@@ -43,7 +44,7 @@
 }
 
 /**
- * Many configuration nodes on one manual clock, over a network and a store whose faults a test controls.
+ * Many configuration nodes on one manual clock, with a network and a store whose faults are controlled by the test.
  *
  * @internal
  */
@@ -54,7 +55,7 @@
     readonly processes: SimulatedProcess[] = [];
     readonly lines: HistoryLine[] = [];
     readonly calls = new Map<string, number>();
-    /** Pairs of data centres that cannot talk, as `a b`. */
+    /** Pairs of data centres that cannot communicate, as `a b`. */
     readonly cuts = new Set<string>();
     private changes = 0;
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Adds a process to the live list, without starting it. */
+    /** Adds a process to the live list without starting it. */
     add(name: string, dataCentre: string): SimulatedProcess {
         const port = basePort + this.processes.length;
         const role = this.processes.length % 3 === 0 ? "entry" : "agent";
@@ -88,7 +89,7 @@
         return process;
     }
 
-    /** Starts a process, or starts it again with nothing of what it knew. */
+    /** Starts a process, or restarts it without its previous state. */
     start(process: SimulatedProcess): Promise<void> {
         process.node?.stop();
         process.incarnation++;
@@ -121,26 +122,26 @@
         return node.start();
     }
 
-    /** Starts every process. */
+    /** Starts all processes. */
     async startAll(): Promise<void> {
         const started = Promise.all(this.processes.map(process => this.start(process)));
         await this.settle(started);
     }
 
-    /** Ends a process without a word; its history lacks its end. */
+    /** Kills a process without an announcement and without closing its history. */
     kill(process: SimulatedProcess): void {
         process.node.stop();
         process.dead = true;
     }
 
-    /** Stops a process from doing anything, while connections to it stay open. It only comes back by a start. */
+    /** Hangs a process, while connections to it stay open. It only resumes by a restart. */
     hang(process: SimulatedProcess): void {
         this.kill(process);
         process.dead = false;
         process.hung = true;
     }
 
-    /** Stops every process that runs, in order: its history is whole. */
+    /** Stops all running processes and closes their histories. */
     stopAll(): void {
         for (const process of this.processes.filter(one => !one.dead && !one.hung)) {
             this.record(process, `${process.name}#${process.incarnation}`, { event: "history.closed" });
@@ -148,16 +149,16 @@
         }
     }
 
-    /** Has a process accept a change of one service. */
+    /** Sends a change of one service to a process. */
     async change(process: SimulatedProcess, name: string, timeout: number) {
         const desired = parseDesired({ kind: "service", name, spec: { timeout } });
         if (desired.isErr) {
-            throw new Error("the change of the test is wrong");
+            throw new Error("the service spec of the test is invalid");
         }
         return process.store.apply([desired.value], { changeId: `change-${this.changes++}` });
     }
 
-    /** Lets time pass until a promise settles. */
+    /** Advances the clock until a promise settles. */
     async settle<T>(work: Promise<T>, limit = 60_000): Promise<T> {
         let done = false;
         void work.finally(() => done = true);
@@ -165,12 +166,12 @@
             await this.clock.advanceAsync(10);
         }
         if (!done) {
-            throw new Error(`nothing after ${limit} ms`);
+            throw new Error(`the promise did not settle within ${limit} ms`);
         }
         return work;
     }
 
-    /** Lets time pass until a condition holds, and returns how long that took. */
+    /** Advances the clock until a condition holds or the limit is reached. Returns the elapsed milliseconds. */
     async until(condition: () => boolean, limit = 10_000): Promise<number> {
         const started = this.clock.now();
         while (!condition() && this.clock.now() - started < limit) {
@@ -179,7 +180,7 @@
         return this.clock.now() - started;
     }
 
-    /** Whether a revision is in force on every process that runs. */
+    /** Whether a revision is in force on all running processes. */
     inForce(revision: number): boolean {
         return this.processes.filter(one => !one.dead && !one.hung && one.node !== undefined)
             .every(one => one.node.revision >= revision);
@@ -257,13 +258,13 @@
         params: unknown,
         link: Link,
     ): Promise<Outcome<unknown>> {
-        await sleep(this.clock, timePerHop + from.slowness + to.slowness);
+        await sleep(this.clock, hopLatency + from.slowness + to.slowness);
         if (this.isCut(from, to)) {
             return new Promise(() => undefined);
         }
         const handler: RpcMethod | undefined = to.node.methods()[method];
         const outcome = await handler?.(JSON.parse(JSON.stringify(params)) as unknown, link);
-        await sleep(this.clock, timePerHop + from.slowness + to.slowness);
+        await sleep(this.clock, hopLatency + from.slowness + to.slowness);
         return this.isCut(from, to) || outcome === undefined ? new Promise(() => undefined) : outcome;
     }
 
@@ -291,5 +292,5 @@
 }
 
 function storeDown<T>(): Outcome<T> {
-    return Result.err(failure(platformCodes.storeUnavailable, "the store is out of reach"));
+    return Result.err(failure(platformCodes.storeUnavailable, "the store cannot be reached"));
 }
