--- a/packages/cli/src/lib/daemons/AgentDaemon.ts
+++ b/packages/cli/src/lib/daemons/AgentDaemon.ts
@@ -57,7 +57,7 @@
             inUse: () => agent.inUse(),
         });
         processLinks.offer({ ...this.part.methods(), [observeMethodName]: observe });
-        processLinks.onLink(link => this.part.membership.sawHello(link.peer));
+        processLinks.onLink(link => this.part.membership.recordHello(link.peer));
         this.operators = new OperatorsServer({
             listen: settings.operators,
             registry,
--- a/packages/cli/src/lib/daemons/EntryDaemon.ts
+++ b/packages/cli/src/lib/daemons/EntryDaemon.ts
@@ -95,7 +95,7 @@
             ...claimMethods(journals),
             ...reportMethods(request => journals.report(request)),
         });
-        this.links.onLink(link => this.part.membership.sawHello(link.peer));
+        this.links.onLink(link => this.part.membership.recordHello(link.peer));
         this.part.membership.onChange(() => this.membersChanged());
         this.api = new ResourceApi({
             ...settings.operators,
--- a/packages/cli/src/lib/nodes/ConfigurationPart.ts
+++ b/packages/cli/src/lib/nodes/ConfigurationPart.ts
@@ -1,4 +1,4 @@
-import { callByPool, ConfigurationNode, Membership, ResourceStore, StoreLog } from "@waxwingspar/config";
+import { ConfigurationNode, createPoolCaller, Membership, ResourceStore, StoreLog } from "@waxwingspar/config";
 import { type LiveList, type TableStore } from "@waxwingspar/stores";
 import { type Address, type LinkPool, type RpcMethod } from "@waxwingspar/transport";
 import { type NodeOptions } from "./NodeOptions.js";
@@ -27,7 +27,7 @@
         const { name: process, role, incarnation, dataCentre, region, links } = options;
         const self = { process, role, ...links, dataCentre, region, incarnation };
         this.membership = new Membership({ self, clock });
-        const call = callByPool(pool, this.membership);
+        const call = createPoolCaller(pool, this.membership);
         const log = new StoreLog(options.store);
         const { membership } = this;
         this.node = new ConfigurationNode({ log, liveList, membership, call, clock, random, record, seeds });
--- a/packages/cli/src/lib/operator/readResourceFiles.ts
+++ b/packages/cli/src/lib/operator/readResourceFiles.ts
@@ -1,4 +1,4 @@
-import { parseAllDesired, parseText } from "@waxwingspar/config";
+import { parseAllDesired, parseJsonc } from "@waxwingspar/config";
 import { type Failure, failure, resourceCodes } from "@waxwingspar/utils";
 import { readFile } from "node:fs/promises";
 import { Result } from "true-myth";
@@ -41,7 +41,7 @@
     if (text === undefined) {
         return Result.err([failure(resourceCodes.invalidSyntax, "the file cannot be read")]);
     }
-    const parsed = parseText(text);
+    const parsed = parseJsonc(text);
     if (parsed.isErr) {
         return Result.err([parsed.error]);
     }
--- a/packages/cli/src/lib/testing/RolloutSite.ts
+++ b/packages/cli/src/lib/testing/RolloutSite.ts
@@ -177,7 +177,7 @@
             inUse: () => node.agent.inUse(),
         });
         processLinks.offer({ ...part.methods(), [observeMethodName]: observe });
-        processLinks.onLink(link => part.membership.sawHello(link.peer));
+        processLinks.onLink(link => part.membership.recordHello(link.peer));
         await node.start();
         this.join(name, "agent", port);
         void part.node.start();
@@ -192,7 +192,7 @@
         const { pool } = processLinks;
         const part = new ConfigurationPart({ ...options, role: "entry", store, liveList, pool, seeds: [] });
         processLinks.offer(part.methods());
-        processLinks.onLink(link => part.membership.sawHello(link.peer));
+        processLinks.onLink(link => part.membership.recordHello(link.peer));
         const node = new EntryNode({
             ...options,
             processLinks,
--- a/packages/config/src/bench/LoopbackSite.ts
+++ b/packages/config/src/bench/LoopbackSite.ts
@@ -5,7 +5,7 @@
 import { subscribe } from "node:diagnostics_channel";
 import { type Socket } from "node:net";
 import { ConfigurationNode, type ConfigurationNodeOptions } from "../lib/distribution/ConfigurationNode.js";
-import { callByPool } from "../lib/distribution/NodeContext.js";
+import { createPoolCaller } from "../lib/distribution/NodeContext.js";
 import { Membership } from "../lib/membership/Membership.js";
 import { StoreLog } from "../lib/revisions/StoreLog.js";
 import { ResourceStore } from "../lib/store/ResourceStore.js";
@@ -76,7 +76,7 @@
         const place = { process: name, role: "agent" as const, ...address.value, dataCentre, region: "r" };
         const membership = new Membership({ self: { ...place, incarnation }, clock: this.clock });
         const pool = new TcpLinkPool({ hello, credentials, methods, clock: this.clock });
-        const call = callByPool(pool, membership);
+        const call = createPoolCaller(pool, membership);
         const shared = { log: new StoreLog(this.table), clock: this.clock, random: seededRandom(place.port) };
         const record = (event: { event: string; revision?: number; }) => {
             if (event.event === "config.applied") {
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -5,7 +5,7 @@
  */
 export { type ApiNode } from "./lib/api/ApiContext.js";
 export { type Operator, type OperatorAuthenticatorOptions } from "./lib/api/OperatorAuthenticator.js";
-export { parseText } from "./lib/api/readBody.js";
+export { parseJsonc } from "./lib/api/readBody.js";
 export {
     type AnsweredRequest,
     type PlainHandler,
@@ -16,7 +16,7 @@
 export { type Configuration } from "./lib/Configuration.js";
 export { ConfigurationNode, type ConfigurationNodeOptions } from "./lib/distribution/ConfigurationNode.js";
 export { type HostBehind } from "./lib/distribution/messages.js";
-export { callByPool, type PeerCaller } from "./lib/distribution/NodeContext.js";
+export { createPoolCaller, type PeerCaller } from "./lib/distribution/NodeContext.js";
 export { type Progress } from "./lib/distribution/ProgressCollector.js";
 export { type Member, type MemberState, type Self } from "./lib/membership/Member.js";
 export { Membership, type MembershipOptions } from "./lib/membership/Membership.js";
--- a/packages/config/src/lib/api/readBody.ts
+++ b/packages/config/src/lib/api/readBody.ts
@@ -28,7 +28,7 @@
     catch {
         return Result.err(failure(requestCodes.malformed, "the request ended before its body was complete"));
     }
-    return parseText(Buffer.concat(parts).toString());
+    return parseJsonc(Buffer.concat(parts).toString());
 }
 
 /**
@@ -36,7 +36,7 @@
  *
  * @public
  */
-export function parseText(text: string): Outcome<unknown> {
+export function parseJsonc(text: string): Outcome<unknown> {
     const errors: ParseError[] = [];
     const value: unknown = parse(text, errors, { allowTrailingComma: true });
     const [first] = errors;
--- a/packages/config/src/lib/distribution/ChangeServer.ts
+++ b/packages/config/src/lib/distribution/ChangeServer.ts
@@ -27,7 +27,7 @@
         if (!parsed.success) {
             return Result.err(failure(requestCodes.malformed, "malformed request for changes"));
         }
-        this.context.membership.sawHello(link.peer);
+        this.context.membership.recordHello(link.peer);
         if (parsed.data.wait > 0 && !this.children.acknowledge(parsed.data, link)) {
             return Result.err(failure(requestCodes.overloaded, "this process cannot serve another child"));
         }
--- a/packages/config/src/lib/distribution/NodeContext.ts
+++ b/packages/config/src/lib/distribution/NodeContext.ts
@@ -23,8 +23,8 @@
  *
  * @public
  */
-export function callByPool(pool: LinkPool, membership: Membership): PeerCaller {
-    pool.onOpen((link, address) => membership.sawHello(link.peer, address));
+export function createPoolCaller(pool: LinkPool, membership: Membership): PeerCaller {
+    pool.onOpen((link, address) => membership.recordHello(link.peer, address));
     return async (address, method, params, timeout) => {
         const link = await pool.connect(address);
         return link.isErr ? Result.err(link.error) : link.value.request(method, params, timeout);
--- a/packages/config/src/lib/membership/Membership.test.ts
+++ b/packages/config/src/lib/membership/Membership.test.ts
@@ -42,7 +42,7 @@
 test("a process that announces its leaving is out before the list says so", () => {
     const { membership } = setUp();
     membership.updateList([host("x", 2)]);
-    membership.sawHello({ process: "x", incarnation: "x#1" });
+    membership.recordHello({ process: "x", incarnation: "x#1" });
     membership.recordLeaving("x", "x#1");
     assert.deepEqual(names(membership), ["me"]);
 });
@@ -50,7 +50,7 @@
 test("a replacement at the same address wins over the list that still shows the old one", () => {
     const { clock, membership } = setUp();
     membership.updateList([host("old", 2)]);
-    membership.sawHello({ process: "new", incarnation: "new#1", role: "entry", dataCentre: "a" }, {
+    membership.recordHello({ process: "new", incarnation: "new#1", role: "entry", dataCentre: "a" }, {
         host: "10.0.0.1",
         port: 2,
     });
@@ -68,12 +68,12 @@
 test("a new incarnation of a leaving process is live, and late words of the old one are ignored", () => {
     const { clock, membership } = setUp();
     membership.updateList([host("x", 2)]);
-    membership.sawHello({ process: "x", incarnation: "x#1" });
+    membership.recordHello({ process: "x", incarnation: "x#1" });
     membership.recordLeaving("x", "x#1");
-    membership.sawHello({ process: "x", incarnation: "x#2" });
+    membership.recordHello({ process: "x", incarnation: "x#2" });
     clock.advance(100);
     membership.updateList([host("x", 2, "a", "leaving")]);
-    membership.sawHello({ process: "x", incarnation: "x#1" });
+    membership.recordHello({ process: "x", incarnation: "x#1" });
     membership.recordLeaving("x", "x#1");
     assert.equal(stateOf(membership, "x"), "live");
     clock.advance(100);
@@ -124,7 +124,7 @@
     const first = membership.readers("a").find(one => one.process !== "me")!;
     membership.recordFailure(first.process);
     assert(!membership.readers("a").some(one => one.process === first.process));
-    membership.sawHello({ process: first.process, incarnation: "1" });
+    membership.recordHello({ process: first.process, incarnation: "1" });
     assert(membership.readers("a").some(one => one.process === first.process));
     membership.recordFailure(first.process);
     clock.advance(11_000);
@@ -177,7 +177,7 @@
         membership.recordLeaving(process);
     }
     else {
-        membership.sawHello({ process, incarnation: `${process}#${membership.members().length}` });
+        membership.recordHello({ process, incarnation: `${process}#${membership.members().length}` });
     }
 }
 
--- a/packages/config/src/lib/membership/Membership.ts
+++ b/packages/config/src/lib/membership/Membership.ts
@@ -185,7 +185,7 @@
     }
 
     /** Records the identity that a process announced when a link to it opened, or in a later message. */
-    sawHello(hello: HelloFields, address?: Address): void {
+    recordHello(hello: HelloFields, address?: Address): void {
         if (
             hello.role === "tool" || this.replacedIncarnations.has(hello.incarnation)
             || hello.process === this.self.process
--- a/packages/config/src/lib/testing/SimulatedSite.ts
+++ b/packages/config/src/lib/testing/SimulatedSite.ts
@@ -247,7 +247,7 @@
         if (outcome === undefined || this.clock.now() - started >= timeout) {
             return Result.err(failure(transportCodes.requestTimeout, "no answer"));
         }
-        from.membership.sawHello(helloOf(to), address);
+        from.membership.recordHello(helloOf(to), address);
         return outcome;
     }
 
