--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -1,11 +1,11 @@
 /**
- * Resources, the operators' API, revisions and their distribution.
+ * Resources, the operator API, the revision log and the distribution of revisions to all processes.
  *
  * @packageDocumentation
  */
 export { type ApiNode } from "./lib/api/ApiContext.js";
 export { type Operator, type OperatorAuthenticatorOptions } from "./lib/api/OperatorAuthenticator.js";
-export { parseText } from "./lib/api/readBody.js";
+export { parseJsonc } from "./lib/api/readBody.js";
 export {
     type AnsweredRequest,
     type PlainHandler,
@@ -16,7 +16,7 @@
 export { type Configuration } from "./lib/Configuration.js";
 export { ConfigurationNode, type ConfigurationNodeOptions } from "./lib/distribution/ConfigurationNode.js";
 export { type HostBehind } from "./lib/distribution/messages.js";
-export { callByPool, type PeerCaller } from "./lib/distribution/NodeContext.js";
+export { createPoolCaller, type PeerCaller } from "./lib/distribution/NodeContext.js";
 export { type Progress } from "./lib/distribution/ProgressCollector.js";
 export { type Member, type MemberState, type Self } from "./lib/membership/Member.js";
 export { Membership, type MembershipOptions } from "./lib/membership/Membership.js";
@@ -32,7 +32,12 @@
 } from "./lib/resources/specs.js";
 export { type Change, kinds, type LogEntry, type Snapshot } from "./lib/revisions/LogEntry.js";
 export { headKey } from "./lib/revisions/logRows.js";
-export { nextEntry, type Offer, RevisionState, type RevisionStateOptions } from "./lib/revisions/RevisionState.js";
+export {
+    type ApplyResult,
+    nextEntry,
+    RevisionState,
+    type RevisionStateOptions,
+} from "./lib/revisions/RevisionState.js";
 export { StoreLog } from "./lib/revisions/StoreLog.js";
 export { resource, StaticConfiguration } from "./lib/StaticConfiguration.js";
 export { type FieldChange } from "./lib/store/diffFields.js";
