--- a/packages/entry/src/lib/links/ClaimBinding.test.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.test.ts
@@ -18,7 +18,7 @@
         asked.push(id);
         return Promise.resolve(outcome);
     };
-    const site = await new TestSite({ findFinalOutcome: findFinalOutcome }).start();
+    const site = await new TestSite({ findFinalOutcome }).start();
     context.after(() => site.entry.stop());
     const first = site.post(orders, { part: 7 }, keyed);
     await site.agent(0).wait("call");
--- a/packages/entry/src/lib/links/ClaimBinding.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.ts
@@ -110,7 +110,7 @@
      * @returns Whether the claim was released.
      */
     private async releaseIfNotRun(bound: Outcome<BoundRunner>): Promise<boolean> {
-        const { claim, options: { findFinalOutcome: findFinalOutcome } } = this;
+        const { claim, options: { findFinalOutcome } } = this;
         if (bound.isOk || bound.error !== runnerGone || claim === undefined || findFinalOutcome === undefined) {
             return false;
         }
--- a/packages/entry/src/lib/models/interleavings.test.ts
+++ b/packages/entry/src/lib/models/interleavings.test.ts
@@ -58,7 +58,7 @@
         const { clock, claims, configuration } = this;
         const findFinalOutcome = ({ id, runner }: Claim): Promise<FinalOutcome> =>
             Promise.resolve(this.finalOutcomes.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
-        const bindingOptions = { claims, links, configuration, findFinalOutcome: findFinalOutcome };
+        const bindingOptions = { claims, links, configuration, findFinalOutcome };
         const answer = new Answer();
         history({
             event: "request.received",
