--- a/packages/agent/src/lib/Agent.ts
+++ b/packages/agent/src/lib/Agent.ts
@@ -74,7 +74,7 @@
  *
  * @example
  * ```ts
- * const pool = new TcpLinkPool({ hello, credentials, methods: lateMethods(() => agent) });
+ * const pool = new TcpLinkPool({ hello, credentials, methods: createDeferredMethods(() => agent) });
  * const agent = new Agent({ target: "t1", hello, pool, engine, configuration, queue });
  * const server = new LinkServer({ hello, credentials, methods: agent.methods, onLink: link => agent.accept(link) });
  * await agent.start();
--- a/packages/agent/src/lib/Drain.test.ts
+++ b/packages/agent/src/lib/Drain.test.ts
@@ -21,7 +21,7 @@
     );
 }
 
-/** Starts the leaving of a target; the returned object receives the result. */
+/** Makes a target leave; the returned object receives the result. */
 function leave(site: TestSite, target: string): { result: DrainResult | undefined; } {
     const leaving: { result: DrainResult | undefined; } = { result: undefined };
     void site.targets.get(target)?.agent.leave().then(result => {
--- a/packages/agent/src/lib/claims/collectFinalClaims.test.ts
+++ b/packages/agent/src/lib/claims/collectFinalClaims.test.ts
@@ -45,7 +45,7 @@
             await created.onWrite();
             return Result.ok(undefined);
         };
-        await created.site.start("a", { agent: { service, settings, writeFinalClaims: writeFinalClaims }, slots });
+        await created.site.start("a", { agent: { service, settings, writeFinalClaims }, slots });
         context.after(() => {
             server.closeAllConnections();
             server.close();
--- a/packages/agent/src/lib/createDeferredMethods.ts
+++ b/packages/agent/src/lib/createDeferredMethods.ts
@@ -6,7 +6,7 @@
 import { exportMethodName } from "./kv/exportMethod.js";
 import { stateMethodName } from "./stage/stateMethod.js";
 
-/** The names of the JSON-RPC methods. */
+/** The names of the deferred JSON-RPC methods. */
 const methodNames = [exportMethodName, orderMethodName, stateMethodName];
 
 /**
