--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Ports to the platform's table service, object store, live list and weight store, with adapters and stand-ins.
+ * Ports to the platform's table service, object store, live list and weight store, with HTTP adapters and in-memory
+ * implementations.
  *
  * @packageDocumentation
  */
--- a/packages/stores/src/lib/LiveList.ts
+++ b/packages/stores/src/lib/LiveList.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 
 /**
- * A host as the platform sees it, some seconds late.
+ * A host as the platform reports it. The report lags a few seconds behind the actual state.
  *
  * @public
  */
@@ -10,7 +10,7 @@
     /** The name of the process on the host, as in its settings. */
     process: z.string(),
     role: z.enum(["entry", "agent"]),
-    /** The IP address and port where the process listens for others. */
+    /** The IP address and port where the process listens for links from other processes. */
     host: z.string(),
     port: z.number().int(),
     dataCentre: z.string(),
@@ -26,7 +26,7 @@
 export type LiveHost = z.infer<typeof liveHostSchema>;
 
 /**
- * The platform's lagging list of hosts that are live or leaving.
+ * The platform's list of live and leaving hosts. It lags behind the actual state.
  *
  * @public
  */
--- a/packages/stores/src/lib/TableStore.ts
+++ b/packages/stores/src/lib/TableStore.ts
@@ -28,8 +28,8 @@
  */
 export const transactionSchema = z.object({
     /**
-     * Unique for each transaction. The store keeps the ids of recent transactions, so that a caller whose answer was
-     * lost can ask for the result instead of writing again.
+     * Unique for each transaction. The store keeps the ids of recent transactions, so that a caller that lost the
+     * response can look up the result instead of writing again.
      */
     writeId: z.string(),
     /** The version that a row must have; 0 means that it must not exist. */
@@ -52,8 +52,8 @@
  */
 export interface TableStore {
     /**
-     * The newest era that an answer has told. It rises each time that the service has come back from an older copy of itself: what was
-     * written since the copy is gone, and its versions are given out again. 0 while nothing was ever lost, as far as is known.
+     * The newest era reported in a response. It rises each time the service is restored from an older copy of its
+     * data: writes made since the copy are lost, and their versions are assigned again. 0 if no restore is known.
      */
     readonly era: number;
     /** Reads one row; version 0 when there is none. */
@@ -63,10 +63,10 @@
     /**
      * Commits a transaction.
      *
-     * @returns The versions of the rows written, by key; `conditionFailed` when nothing was written for that reason,
-     * `storeUnavailable` when nothing was written, `storeUnknown` when the answer was lost.
+     * @returns The versions of the rows written, by key. `conditionFailed` if a condition did not hold and
+     * `storeUnavailable` if the call was not accepted: nothing was written. `storeUnknown` if the response was lost.
      */
     commit(transaction: Transaction): Promise<Outcome<Record<string, number>>>;
-    /** The result of a transaction by its write id: the versions written, or undefined if it took no effect. */
+    /** Looks up a transaction by its write id: the versions written, or undefined if it took no effect. */
     findCommit(writeId: string): Promise<Outcome<Record<string, number> | undefined>>;
 }
--- a/packages/stores/src/lib/TokenBucket.ts
+++ b/packages/stores/src/lib/TokenBucket.ts
@@ -9,14 +9,14 @@
     readonly clock: Clock;
     /** Permits per second. */
     readonly rate: number;
-    /** Permits that may be saved up while none are taken. */
+    /** The most permits that can accumulate while none are taken. */
     readonly burst?: number;
 }
 
 const msPerSecond = 1000;
 
 /**
- * A rate limit. Permits may be promised for later, so that a caller can wait its turn.
+ * A rate limiter. A permit can be taken before it is due, so that the caller waits until then.
  *
  * @public
  */
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Takes a permit if its turn comes soon enough.
+     * Takes a permit if one is due within `maxWait`.
      *
      * @param maxWait - The longest wait that the caller accepts, in milliseconds.
      * @returns Milliseconds to wait before using the permit, or undefined when none was taken.
@@ -63,10 +63,10 @@
     }
 
     /**
-     * Drops saved permits, so that the next one is due after a part of the usual interval. Many processes that do this
-     * with random parts after a common outage keep to their common rate at once.
+     * Drops accumulated permits, so that the next one is due after a fraction of the interval between permits. After an
+     * outage, processes that do this with random fractions stay within their combined rate from the start.
      *
-     * @param part - How far away the next permit is, from 0 (now) to 1 (a whole interval).
+     * @param part - When the next permit is due, from 0 (now) to 1 (after a whole interval).
      */
     restart(part: number): void {
         this.refill();
--- a/packages/stores/src/lib/WeightStore.ts
+++ b/packages/stores/src/lib/WeightStore.ts
@@ -8,6 +8,6 @@
 export interface WeightStore {
     /** The size of a range of layers of a model version, in bytes. */
     size(model: string, version: string, first: number, last: number): Promise<Outcome<number>>;
-    /** Bytes per second that all loads together may take. */
+    /** The rate limit shared by all loads, in bytes per second. */
     rate(): Promise<Outcome<number>>;
 }
--- a/packages/stores/src/lib/client/Breaker.ts
+++ b/packages/stores/src/lib/client/Breaker.ts
@@ -9,29 +9,29 @@
 export interface BreakerOptions {
     readonly clock: Clock;
     readonly random: Random;
-    /** Failures in a row that open it. */
+    /** Consecutive failures that open the breaker. */
     readonly threshold: number;
-    /** How long it stays open before the next probe. */
+    /** How long the breaker stays open before the next probe. */
     readonly pause: BackoffBounds;
 }
 
 /**
- * Whether calls pass: all, none, or one probe at a time.
+ * Whether calls pass: all (`closed`), none (`open`), or one probe at a time (`probing`).
  *
  * @public
  */
 export type BreakerState = "closed" | "open" | "probing";
 
 /**
- * Stops calls to a store that keeps failing. After a random pause it lets one call through as a probe; the pause grows
- * with each probe that fails.
+ * A circuit breaker: stops calls to a store that keeps failing. After a random pause it lets one call through as a
+ * probe; the pause grows with each probe that fails.
  *
  * @public
  */
 export class Breaker {
     private readonly options: BreakerOptions;
     private failures = 0;
-    private openings = 0;
+    private consecutiveOpens = 0;
     private probeAt: number | undefined;
     private probing = false;
 
@@ -56,11 +56,12 @@
     }
 
     /**
-     * Asks to send a call. The caller must report its result when it was let through.
+     * Requests permission to send a call. If it is granted, the caller must report the result with
+     * {@link Breaker.succeed} or {@link Breaker.fail}.
      *
      * @returns False when the call must not be sent.
      */
-    enter(): boolean {
+    tryEnter(): boolean {
         if (this.wait() > 0) {
             return false;
         }
@@ -69,20 +70,20 @@
     }
 
     /**
-     * Reports that the store answered.
+     * Reports that the store responded.
      *
      * @returns True if this closed the breaker.
      */
     succeed(): boolean {
         const closed = this.probeAt !== undefined;
         this.failures = 0;
-        this.openings = 0;
+        this.consecutiveOpens = 0;
         this.probeAt = undefined;
         this.probing = false;
         return closed;
     }
 
-    /** Reports that the store failed to answer. */
+    /** Reports that the store failed to respond. */
     fail(): void {
         this.failures++;
         if (this.probing || (this.probeAt === undefined && this.failures >= this.options.threshold)) {
@@ -93,7 +94,7 @@
     private open(): void {
         const { clock, random, pause } = this.options;
         this.probing = false;
-        this.probeAt = clock.now() + fullJitter(random, pause, this.openings);
-        this.openings++;
+        this.probeAt = clock.now() + fullJitter(random, pause, this.consecutiveOpens);
+        this.consecutiveOpens++;
     }
 }
--- a/packages/stores/src/lib/client/CommitOnce.ts
+++ b/packages/stores/src/lib/client/CommitOnce.ts
@@ -13,14 +13,14 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly backoff: BackoffBounds;
-    /** Milliseconds after which it gives up; below the store's memory of write ids. */
-    readonly patience: number;
+    /** Milliseconds after which it gives up. Must be below the time for which the store keeps write ids. */
+    readonly maxDuration: number;
 }
 
 type Versions = Record<string, number>;
 
 /**
- * Commits a transaction and finds out what became of it when the answer was lost.
+ * Commits a transaction, and determines its result when the response was lost.
  *
  * @internal
  */
@@ -30,18 +30,18 @@
     /**
      * Commits a transaction.
      *
-     * @param mayRepeat - Whether two copies can never both take effect.
+     * @param mayRepeat - Whether at most one of two copies of the transaction can take effect.
      */
     async run(transaction: Transaction, mayRepeat: (transaction: Transaction) => boolean): Promise<Outcome<Versions>> {
-        const { store, clock, random, backoff, patience } = this.options;
-        const deadline = clock.now() + patience;
+        const { store, clock, random, backoff, maxDuration } = this.options;
+        const deadline = clock.now() + maxDuration;
         const first = await store.commit(transaction);
         if (!isUnknown(first)) {
             return first;
         }
         for (let attempt = 0; clock.now() < deadline; attempt++) {
             await sleep(clock, fullJitter(random, backoff, attempt));
-            const outcome = await this.settle(transaction, mayRepeat(transaction), deadline);
+            const outcome = await this.findOrRepeat(transaction, mayRepeat(transaction), deadline);
             if (!isUnknown(outcome)) {
                 return outcome;
             }
@@ -49,7 +49,7 @@
         return first;
     }
 
-    private async settle(
+    private async findOrRepeat(
         transaction: Transaction,
         mayRepeat: boolean,
         deadline: number,
@@ -64,7 +64,10 @@
         return mayRepeat ? this.repeat(transaction, deadline) : unknown();
     }
 
-    /** A repeat that failed proves nothing about the first copy, which may have arrived in between. */
+    /**
+     * Commits the transaction again. A failed repeat proves nothing about the first copy, which may have arrived in the
+     * meantime, so the write id is looked up again after a failed condition.
+     */
     private async repeat(transaction: Transaction, deadline: number): Promise<Outcome<Versions>> {
         const repeated = await this.options.store.commit(transaction);
         if (repeated.isOk) {
@@ -80,7 +83,7 @@
         return found.value === undefined ? repeated : Result.ok(found.value);
     }
 
-    /** "Not found" counts only until the deadline: later the store may have forgotten the write id. */
+    /** "Not found" is conclusive only before the deadline: afterwards the store may have dropped the write id. */
     private async find(writeId: string, deadline: number): Promise<Outcome<Versions | undefined>> {
         const found = await this.options.store.findCommit(writeId);
         const late = this.options.clock.now() >= deadline;
--- a/packages/stores/src/lib/client/ReadSharing.ts
+++ b/packages/stores/src/lib/client/ReadSharing.ts
@@ -1,6 +1,6 @@
 /**
- * Lets equal reads of one turn of the event loop share one call. A read never joins a call of an earlier turn, whose
- * answer may be older than what the reader has seen.
+ * Coalesces equal reads made in the same turn of the event loop into one call. A read never joins a call of an earlier
+ * turn, whose response may be older than what the reader has already seen.
  *
  * @internal
  */
@@ -8,7 +8,7 @@
     private readonly reads = new Map<string, Promise<unknown>>();
 
     /**
-     * Runs a read, or joins an equal one of this turn.
+     * Starts a read, or joins an equal one started in this turn.
      *
      * @param name - Equal for equal reads.
      */
--- a/packages/stores/src/lib/client/StoreClient.test.ts
+++ b/packages/stores/src/lib/client/StoreClient.test.ts
@@ -28,7 +28,7 @@
     return { clock, store, client, effects };
 }
 
-/** Moves the clock until a call has ended. */
+/** Advances the clock until a call has settled. */
 async function ended<T>(clock: ManualClock, call: Promise<T>): Promise<T> {
     let open = true;
     void call.finally(() => open = false);
@@ -87,8 +87,8 @@
     assert.deepEqual(effects, []);
 });
 
-test("after the store's memory of write ids an unknown write stays unknown", async () => {
-    const { clock, store, client } = setUp({ commitDeadline: 5000 });
+test("an unknown write stays unknown once the store may have dropped its write id", async () => {
+    const { clock, store, client } = setUp({ commitTimeout: 5000 });
     const version = await putRow(store);
     store.faults.set({ losesAfter: 1 });
     await clock.advanceAsync(10, 10);
@@ -109,7 +109,7 @@
         down: fc.boolean(),
     });
     const run = fc.asyncProperty(fc.array(fault, { maxLength: 8 }), fc.nat(), async (faults, seed) => {
-        const { clock, store, client, effects } = setUp({ timeout: 200, commitDeadline: 4000 }, seed);
+        const { clock, store, client, effects } = setUp({ timeout: 200, commitTimeout: 4000 }, seed);
         const version = await putRow(store);
         const calls = ["x", "y"].map(writeId => client.commitOnce(increment(version, writeId)));
         for (const settings of faults) {
@@ -120,12 +120,12 @@
         const outcomes = await Promise.all(calls.map(call => ended(clock, call)));
         await clock.advanceAsync(2000, 50);
         for (const [index, writeId] of ["x", "y"].entries()) {
-            const took = effects.filter(effect => effect === writeId).length;
-            assert.ok(took <= 1, "took effect twice");
+            const effectCount = effects.filter(effect => effect === writeId).length;
+            assert.ok(effectCount <= 1, "took effect twice");
             const outcome = outcomes[index];
             assert.ok(outcome);
-            const told = outcome.isOk ? 1 : outcome.error.code === platformCodes.storeUnknown ? took : 0;
-            assert.equal(told, took, "told otherwise than it happened");
+            const told = outcome.isOk ? 1 : outcome.error.code === platformCodes.storeUnknown ? effectCount : 0;
+            assert.equal(told, effectCount, "the reported result differs from the actual effect");
         }
     });
     const seed = Number(process.env["FC_SEED"] ?? 20261202);
@@ -133,7 +133,7 @@
     await fc.assert(run, { seed, numRuns: 200 });
 });
 
-test("equal reads of one turn share a call, later ones do not", async () => {
+test("equal reads of one turn share a call; later ones do not", async () => {
     const { clock, store, client } = setUp({ burst: 10 });
     await clock.advanceAsync(1000);
     await Promise.all([client.get("a"), client.get("a"), client.get("b")]);
@@ -142,7 +142,7 @@
     assert.equal(store.faults.arrivals.read, 3);
 });
 
-test("calls beyond the share are refused with the time to come back", async () => {
+test("calls above the process's rate are refused with a retry time", async () => {
     const { clock, client } = setUp({ readsPerSecond: 1, burst: 1, maxWait: 1500 });
     await clock.advanceAsync(2000);
     const calls = ["a", "b", "c"].map(key => client.get(key));
@@ -153,7 +153,7 @@
     assert.ok((await calls[1])?.isOk);
 });
 
-test("a store that is down is probed, not hammered, and used again once it answers", async () => {
+test("a store that is down is only probed, and used again once it responds", async () => {
     const { clock, store, client } = setUp();
     store.faults.set({ down: true });
     for (let second = 0; second < 600; second++) {
--- a/packages/stores/src/lib/client/StoreClient.ts
+++ b/packages/stores/src/lib/client/StoreClient.ts
@@ -24,21 +24,24 @@
     /** This process's share of the fleet's writes per second. */
     readonly writesPerSecond: number;
     /**
-     * Permits of each kind that may be saved up. All processes together can spend theirs in one moment, so keep it at 1
-     * except for the few holders of a duty.
+     * The most permits of each kind that can accumulate. All processes may spend theirs at the same moment, so keep it
+     * at 1 except for the few holders of a control duty.
      */
     readonly burst?: number;
     /** The longest wait for a permit, in milliseconds; a call that would wait longer is refused at once. */
     readonly maxWait?: number;
-    /** Milliseconds until a call without an answer counts as unknown. */
+    /** Milliseconds after which a call without a response ends with an unknown outcome. */
     readonly timeout?: number;
-    /** Waits between the attempts of {@link StoreClient.commitOnce}. */
+    /** The back-off between the attempts of {@link StoreClient.commitOnce}. */
     readonly backoff?: BackoffBounds;
-    /** Milliseconds after which {@link StoreClient.commitOnce} gives up. Keep it below the store's memory of write ids. */
-    readonly commitDeadline?: number;
-    /** Failures in a row that open the breaker. */
+    /**
+     * Milliseconds after which {@link StoreClient.commitOnce} gives up. Keep it below the time for which the store
+     * keeps write ids.
+     */
+    readonly commitTimeout?: number;
+    /** Consecutive failures that open the breaker. */
     readonly breakerThreshold?: number;
-    /** How long the breaker stays open. The cap bounds how long after an outage this process notices its end. */
+    /** How long the breaker stays open. The cap bounds how late this process notices the end of an outage. */
     readonly breakerPause?: BackoffBounds;
 }
 
@@ -47,14 +50,15 @@
     maxWait: 2_000,
     timeout: 2_000,
     backoff: { base: 50, cap: 2_000 },
-    commitDeadline: 30_000,
+    commitTimeout: 30_000,
     breakerThreshold: 3,
     breakerPause: { base: 1_000, cap: 30_000 },
 };
 
 /**
- * The one client through which a process uses the table service. It keeps the process within its share of the fleet's
- * rate, stops calling a store that does not answer, and finds out what became of a write whose answer was lost.
+ * The client through which a process makes all its calls to the table service. It limits the process to its share of
+ * the fleet's rate, stops calling a store that does not respond, and determines the outcome of a write whose response
+ * was lost.
  *
  * @public
  */
@@ -63,7 +67,7 @@
     private readonly breaker: Breaker;
     private readonly buckets: Record<CallKind, TokenBucket>;
     private readonly committer: CommitOnce;
-    private readonly sharing = new ReadSharing();
+    private readonly readCoalescer = new ReadSharing();
 
     constructor(options: StoreClientOptions) {
         this.options = { ...defaults, ...options };
@@ -73,8 +77,8 @@
             read: new TokenBucket({ clock, rate: readsPerSecond, burst }),
             write: new TokenBucket({ clock, rate: writesPerSecond, burst }),
         };
-        const { backoff, commitDeadline } = this.options;
-        this.committer = new CommitOnce({ store: this, clock, random, backoff, patience: commitDeadline });
+        const { backoff, commitTimeout } = this.options;
+        this.committer = new CommitOnce({ store: this, clock, random, backoff, maxDuration: commitTimeout });
         this.restartBuckets();
     }
 
@@ -87,24 +91,27 @@
         return this.breaker.state;
     }
 
-    /** Changes this process's share of the rates, when it takes or gives up a duty. */
+    /** Changes this process's share of the rates, for when it acquires or releases a control duty. */
     setRates(rates: { readonly readsPerSecond: number; readonly writesPerSecond: number; }): void {
         this.buckets.read.setRate(rates.readsPerSecond);
         this.buckets.write.setRate(rates.writesPerSecond);
     }
 
-    /** Like the port's; equal reads of one turn of the event loop share one call. */
+    /** See {@link TableStore.get}. Equal reads made in one turn of the event loop share one call. */
     get(key: string): Promise<Outcome<Row>> {
-        return this.sharing.run(`get ${key}`, () => this.call("read", () => this.options.store.get(key)));
+        return this.readCoalescer.run(`get ${key}`, () => this.call("read", () => this.options.store.get(key)));
     }
 
-    /** Like the port's; equal scans of one turn of the event loop share one call. */
+    /** See {@link TableStore.scan}. Equal scans made in one turn of the event loop share one call. */
     scan(prefix: string, after: string, limit: number): Promise<Outcome<Row[]>> {
         const name = JSON.stringify([prefix, after, limit]);
-        return this.sharing.run(name, () => this.call("read", () => this.options.store.scan(prefix, after, limit)));
+        return this.readCoalescer.run(
+            name,
+            () => this.call("read", () => this.options.store.scan(prefix, after, limit)),
+        );
     }
 
-    /** Sends a transaction once. */
+    /** Sends a transaction once, without repeating it. */
     commit(transaction: Transaction): Promise<Outcome<Record<string, number>>> {
         return this.call("write", () => this.options.store.commit(transaction));
     }
@@ -114,12 +121,12 @@
     }
 
     /**
-     * Commits a transaction and does not take a lost answer for an answer: it asks for the write id before it repeats,
-     * and again when the repeat meets a broken condition, which may be the work of the first copy.
+     * Commits a transaction, and determines its result when the response is lost. It looks up the write id before it
+     * repeats the transaction, and again when the repeat fails a condition, since the first copy may have caused that.
      *
-     * @param mayRepeat - Whether two copies can never both take effect; see {@link canRepeat}.
-     * @returns As `commit`. `storeUnknown` remains when the store could not be asked before the deadline, since it may
-     * forget the write id soon after, or when the transaction may not be repeated. The caller must then read the rows.
+     * @param mayRepeat - Whether at most one of two copies can take effect; see {@link canRepeat}.
+     * @returns As `commit`. `storeUnknown` if the store could not be reached before the deadline, after which it may
+     * drop the write id, or if the transaction may not be repeated. The caller must then read the rows.
      */
     commitOnce(
         transaction: Transaction,
@@ -136,21 +143,21 @@
         const bucket = this.buckets[kind];
         const wait = bucket.take(maxWait);
         if (wait === undefined) {
-            const message = `the local share of ${kind}s is used up`;
+            const message = `${kind} rate limit of this process exceeded`;
             return Result.err(failure(platformCodes.budgetExhausted, message, { retryAfter: bucket.wait() }));
         }
         if (wait > 0) {
             await sleep(clock, wait);
         }
-        if (!this.breaker.enter()) {
+        if (!this.breaker.tryEnter()) {
             return this.breakerRefusal();
         }
         const outcome = await withTimeout(clock, timeout, send());
-        this.note(outcome);
+        this.recordOutcome(outcome);
         return outcome;
     }
 
-    private note(outcome: Outcome<unknown>): void {
+    private recordOutcome(outcome: Outcome<unknown>): void {
         if (outcome.isErr && isStoreFailure(outcome.error)) {
             this.breaker.fail();
         }
@@ -159,7 +166,7 @@
         }
     }
 
-    /** Spreads the next permits of processes that start together, or see the end of an outage together. */
+    /** Spreads out the next permits of processes that start or recover from an outage at the same time. */
     private restartBuckets(): void {
         this.buckets.read.restart(this.options.random.next());
         this.buckets.write.restart(this.options.random.next());
@@ -167,7 +174,11 @@
 
     private breakerRefusal(): Outcome<never> {
         const retryAfter = Math.ceil(this.breaker.wait());
-        return Result.err(failure(platformCodes.storeUnavailable, "the store did not answer lately", { retryAfter }));
+        return Result.err(
+            failure(platformCodes.storeUnavailable, "circuit breaker open: recent calls to the store failed", {
+                retryAfter,
+            }),
+        );
     }
 }
 
--- a/packages/stores/src/lib/client/canRepeat.ts
+++ b/packages/stores/src/lib/client/canRepeat.ts
@@ -1,9 +1,10 @@
 import { type Transaction } from "../TableStore.js";
 
 /**
- * Whether two copies of a transaction can never both take effect: it writes a row on whose version, above 0, it has a
- * condition. The first copy to take effect changes that version for good. A condition that a row must not exist gives
- * no such safety, since somebody may delete the row before the other copy arrives.
+ * Returns whether at most one of two copies of a transaction can take effect: it writes a row and has a condition on
+ * that row's version, which must be above 0. The first copy to take effect changes that version permanently. A
+ * condition that a row must not exist does not guarantee this, since the row may be deleted before the other copy
+ * arrives.
  *
  * @public
  */
--- a/packages/stores/src/lib/client/fleet.test.ts
+++ b/packages/stores/src/lib/client/fleet.test.ts
@@ -4,10 +4,13 @@
 import { MemoryTableStore } from "../memory/MemoryTableStore.js";
 import { StoreClient } from "./StoreClient.js";
 
-/** The shares of one process when 8,500 processes take 2,000 reads and 300 writes a second. */
+/** The rates of one process when 8,500 processes share 2,000 reads and 300 writes per second. */
 const readsPerSecond = 2000 / 8500;
 const writesPerSecond = 300 / 8500;
-/** Random phases let a second exceed the mean; the store refuses what exceeds its limit by more. */
+/**
+ * The factor by which one second may exceed the mean rate, since the processes have random phases. The store refuses
+ * calls above that.
+ */
 const tolerance = 1.3;
 
 interface Load {
@@ -15,8 +18,8 @@
     readonly writes: number;
 }
 
-/** A process that always has something to ask for. */
-async function ask(clock: ManualClock, random: Random, call: () => Promise<Outcome<unknown>>): Promise<void> {
+/** Simulates a process that always has a call to make. */
+async function callForever(clock: ManualClock, random: Random, call: () => Promise<Outcome<unknown>>): Promise<void> {
     for (;;) {
         const outcome = await call();
         const wait = outcome.isErr ? outcome.error.retryAfter ?? 1000 : 100;
@@ -46,16 +49,16 @@
     for (let index = 0; index < processes; index++) {
         const client = new StoreClient({ store, clock, random, readsPerSecond, writesPerSecond, maxWait: 60_000 });
         const write = () => client.commit({ writeId: "w", conditions: [], writes: [{ key: `${index}`, value: 1 }] });
-        void ask(clock, random, () => client.get("a"));
-        void ask(clock, random, write);
+        void callForever(clock, random, () => client.get("a"));
+        void callForever(clock, random, write);
     }
 }
 
-/** `FLEET_SIZES=8500` measures the whole fleet, which takes minutes. */
+/** `FLEET_SIZES=8500` simulates the whole fleet, which takes minutes. */
 const sizes = (process.env["FLEET_SIZES"] ?? "300,1200").split(",").map(Number);
 
 for (const processes of sizes) {
-    test(`${processes} busy processes keep to their common rate before, in and after an outage`, async t => {
+    test(`${processes} busy processes stay within their combined rate before, during and after an outage`, async t => {
         const seed = 20261202;
         t.diagnostic(`seed ${seed}`);
         const clock = new ManualClock();
--- a/packages/stores/src/lib/client/fullJitter.ts
+++ b/packages/stores/src/lib/client/fullJitter.ts
@@ -1,20 +1,20 @@
 import { type Random } from "@waxwingspar/utils";
 
 /**
- * Bounds of a backoff.
+ * Bounds of an exponential back-off.
  *
  * @public
  */
 export interface BackoffBounds {
-    /** The longest first wait, in milliseconds. */
+    /** The upper bound of the first wait, in milliseconds. */
     readonly base: number;
-    /** The longest wait of all, in milliseconds. */
+    /** The upper bound of any wait, in milliseconds. */
     readonly cap: number;
 }
 
 /**
- * A wait with exponential backoff and full jitter: any length from zero to the bound, so that callers which failed
- * together do not come back together.
+ * Returns a wait with exponential back-off and full jitter: random between zero and the bound, so that callers that
+ * failed at the same time do not retry at the same time.
  *
  * @param attempt - Failures so far, from 0 on.
  * @returns Milliseconds to wait.
--- a/packages/stores/src/lib/client/withTimeout.ts
+++ b/packages/stores/src/lib/client/withTimeout.ts
@@ -2,7 +2,7 @@
 import { Result } from "true-myth";
 
 /**
- * Waits for a call to the store, and counts it as unknown when it takes too long. The call itself goes on.
+ * Waits for a call to the store, and returns `storeUnknown` if it takes too long. The call itself is not cancelled.
  *
  * @param timeout - Milliseconds to wait.
  * @internal
--- a/packages/stores/src/lib/http/PlatformConnection.ts
+++ b/packages/stores/src/lib/http/PlatformConnection.ts
@@ -17,15 +17,15 @@
  * @public
  */
 export interface PlatformConnectionOptions {
-    /** Where the platform listens, such as `http://127.0.0.1:8090`. */
+    /** The origin of the platform's HTTP interface, such as `http://127.0.0.1:8090`. */
     readonly origin: string;
-    /** Connections to keep. */
+    /** The most connections to keep open. */
     readonly connections?: number;
     /** Milliseconds to wait for a connection. */
     readonly connectTimeout?: number;
-    /** Milliseconds to wait for an answer. The store client's own timeout is shorter. */
+    /** Milliseconds to wait for a response. The store client's own timeout is shorter. */
     readonly answerTimeout?: number;
-    /** The largest answer in bytes. */
+    /** The largest response that is accepted, in bytes. */
     readonly maxAnswerBytes?: number;
 }
 
@@ -36,13 +36,13 @@
     maxAnswerBytes: 64 * 1024 * 1024,
 };
 
-/** Errors that undici or the operating system report before any byte of the request has left. */
+/** Errors that undici or the operating system report before any byte of the request was sent. */
 const connectErrors = new Set(["UND_ERR_CONNECT_TIMEOUT", "ECONNREFUSED", "ENOTFOUND", "EAI_AGAIN"]);
 const tooManyRequests = 429;
 
 /**
- * Calls the platform's HTTP interface. A connection that was never opened and an explicit refusal end as
- * `storeUnavailable`; whatever else goes wrong ends as `storeUnknown`.
+ * Calls the platform's HTTP interface. A failed connection attempt and an explicit refusal return `storeUnavailable`;
+ * any other fault returns `storeUnknown`, since the call may have taken effect.
  *
  * @public
  */
@@ -54,7 +54,7 @@
         const { origin, connections, connectTimeout, answerTimeout, maxAnswerBytes } = { ...defaults, ...options };
         this.pool = new Pool(origin, {
             connections,
-            // A second request behind one that fails could not be told sent from unsent.
+            // With pipelining it would be unknown whether a request queued behind a failed one was sent.
             pipelining: 1,
             connect: { timeout: connectTimeout },
             headersTimeout: answerTimeout,
@@ -63,7 +63,7 @@
         });
     }
 
-    /** The newest era of the table service that an answer has told; an answer that is overtaken does not lower it. */
+    /** The newest era of the table service reported in a response. A delayed, older response does not lower it. */
     get tableEra(): number {
         return this.newestEra;
     }
@@ -85,7 +85,7 @@
             return this.readAnswer(path, response.statusCode, text);
         }
         catch (error) {
-            return afterError(error);
+            return toFailedOutcome(error);
         }
     }
 
@@ -97,7 +97,9 @@
     private readAnswer<P extends PlatformPath>(path: P, status: number, text: string): Outcome<PlatformResult<P>> {
         const answer = answerSchema.safeParse(parseJson(text));
         if (!answer.success) {
-            return status === tooManyRequests ? unavailable("rate exceeded") : unknownOutcome(`status ${status}`);
+            return status === tooManyRequests
+                ? unavailable("rate exceeded")
+                : unknownOutcome(`invalid response with HTTP status ${status}`);
         }
         const { failure: refusal, value: content, tableEra } = answer.data;
         this.newestEra = Math.max(this.newestEra, tableEra ?? 0);
@@ -107,7 +109,7 @@
         const value = platformCalls[path].result.safeParse(content);
         return value.success
             ? Result.ok(value.data as PlatformResult<P>)
-            : unknownOutcome("an answer of another shape");
+            : unknownOutcome("response does not match its schema");
     }
 }
 
@@ -120,7 +122,7 @@
     }
 }
 
-function afterError(error: unknown): Outcome<never> {
+function toFailedOutcome(error: unknown): Outcome<never> {
     const code = errorCode(error);
     return connectErrors.has(code) ? unavailable(code) : unknownOutcome(code);
 }
--- a/packages/stores/src/lib/http/PlatformServer.test.ts
+++ b/packages/stores/src/lib/http/PlatformServer.test.ts
@@ -56,7 +56,7 @@
     assert.equal((await store.get("a")).unwrapOr(undefined)?.version, 0);
 });
 
-test("every answer tells the era of the table service, also a refusal", async t => {
+test("every response reports the era of the table service, including a refusal", async t => {
     const { store, table } = await setUp(t);
     assert.ok((await store.get("a")).isOk);
     assert.equal(store.era, 0);
@@ -82,14 +82,14 @@
     assert.ok((await weights.size("none", "1", 2, 4)).isErr);
 });
 
-test("a lost answer arrives as unknown, and its effect can be found", async t => {
+test("a lost response is reported as unknown, and the transaction's result can be looked up", async t => {
     const { connection, store } = await setUp(t);
     await connection.call("/admin/faults", { service: "table", faults: { losesAfter: 1 } });
     assert.equal(codeOf(await store.commit(create)), platformCodes.storeUnknown.number);
     assert.ok((await store.findCommit("1")).unwrapOr(undefined));
 });
 
-test("refusals and closed ports arrive as unavailable", async t => {
+test("refusals and closed ports are reported as unavailable", async t => {
     const { connection, store } = await setUp(t);
     await connection.call("/admin/faults", { service: "table", faults: { down: true } });
     assert.equal(codeOf(await store.commit(create)), platformCodes.storeUnavailable.number);
@@ -99,7 +99,7 @@
     assert.equal(codeOf(await new HttpTableStore(closed).commit(create)), platformCodes.storeUnavailable.number);
 });
 
-test("a server that closes, falls silent or talks nonsense leaves the outcome unknown", async t => {
+test("a closed connection or an invalid response leaves the outcome unknown", async t => {
     for (
         const answer of [
             "",
--- a/packages/stores/src/lib/http/PlatformServer.ts
+++ b/packages/stores/src/lib/http/PlatformServer.ts
@@ -9,7 +9,7 @@
 import { platformCalls, type PlatformParams, type PlatformPath, toAnswer } from "./wire.js";
 
 /**
- * The stand-ins that a {@link PlatformServer} serves.
+ * The in-memory services that a {@link PlatformServer} serves.
  *
  * @public
  */
@@ -18,7 +18,7 @@
     readonly objects: MemoryObjectStore;
     readonly live: MemoryLiveList;
     readonly weights: MemoryWeightStore;
-    /** The largest request in bytes. */
+    /** The largest request body that is accepted, in bytes. */
     readonly maxBodyBytes?: number;
 }
 
@@ -31,7 +31,7 @@
 type Handlers = { readonly [P in PlatformPath]: (params: PlatformParams<P>) => Promise<Outcome<unknown>>; };
 
 /**
- * Serves the in-memory stand-ins over HTTP, for tests with several processes and for trials. Paths below `/admin` set
+ * Serves the in-memory services over HTTP, for tests with several processes and for trials. Paths below `/admin` set
  * faults and the live list, so it must listen on the loopback address only.
  *
  * @public
@@ -121,13 +121,14 @@
 
 function adminHandlers({ table, objects, live, weights }: PlatformServerOptions): Pick<Handlers, AdminPath> {
     const services = { table, objects, live, weights };
-    let useCopy = table.saveCopy();
+    let restoreCopy = table.saveCopy();
     return {
         "/admin/faults": async ({ service, faults }) => {
             services[service].faults.set(faults);
             return Promise.resolve(Result.ok(services[service].faults.faults));
         },
-        "/admin/table/copy": ({ action }) => done(() => action === "save" ? useCopy = table.saveCopy() : useCopy()),
+        "/admin/table/copy": ({ action }) =>
+            done(() => action === "save" ? restoreCopy = table.saveCopy() : restoreCopy()),
         "/admin/hosts/set": host => done(() => live.set(host)),
         "/admin/hosts/remove": ({ process }) => done(() => live.remove(process)),
         "/admin/hosts/lag": ({ lag }) => done(() => live.lag = lag),
@@ -139,7 +140,7 @@
     return Promise.resolve(Result.ok(undefined));
 }
 
-/** A lost answer is lost on the wire too: the connection breaks without one. */
+/** Sends an outcome. If it is unknown, the connection is closed without a response, as when a response is lost. */
 function sendOutcome(response: ServerResponse, outcome: Outcome<unknown>, tableEra: number): void {
     if (outcome.isErr && outcome.error.code === platformCodes.storeUnknown) {
         response.destroy();
--- a/packages/stores/src/lib/http/wire.ts
+++ b/packages/stores/src/lib/http/wire.ts
@@ -10,7 +10,7 @@
 /** Bytes of an object, as base64 in JSON. */
 const bytesSchema = z.base64();
 
-/** What a call sends and what it gets back. */
+/** The schemas of a call's parameters and its result. */
 interface CallSchema<P extends z.ZodType, R extends z.ZodType> {
     readonly params: P;
     readonly result: R;
@@ -20,10 +20,10 @@
     return { params, result };
 }
 
-const nothing = z.undefined();
+const noResult = z.undefined();
 
 /**
- * Every call of the platform's HTTP interface, by the path it is posted to.
+ * Every call of the platform's HTTP interface, by the path of its POST request.
  *
  * @internal
  */
@@ -35,10 +35,10 @@
     ),
     "/table/commit": call(transactionSchema, versionsSchema),
     "/table/find-commit": call(z.object({ writeId: z.string() }), versionsSchema.optional()),
-    "/objects/put": call(z.object({ name: z.string(), data: bytesSchema }), nothing),
+    "/objects/put": call(z.object({ name: z.string(), data: bytesSchema }), noResult),
     "/objects/get": call(z.object({ name: z.string() }), bytesSchema.optional()),
     "/objects/list": call(z.object({ prefix: z.string() }), z.array(z.string())),
-    "/objects/delete": call(z.object({ name: z.string() }), nothing),
+    "/objects/delete": call(z.object({ name: z.string() }), noResult),
     "/live/read": call(z.object({}), z.array(liveHostSchema)),
     "/weights/size": call(
         z.object({ model: z.string(), version: z.string(), first: z.number().int(), last: z.number().int() }),
@@ -48,7 +48,7 @@
     "/admin/faults": call(
         z.object({
             service: z.enum(["table", "objects", "live", "weights"]),
-            // A field that is left out keeps its value.
+            // An omitted field keeps its value.
             faults: z.object({
                 down: z.boolean(),
                 delay: z.number().nonnegative(),
@@ -62,11 +62,11 @@
         }),
         faultSettingsSchema,
     ),
-    /** `save` keeps a copy of the tables; `use` lets the service come back from it. */
-    "/admin/table/copy": call(z.object({ action: z.enum(["save", "use"]) }), nothing),
-    "/admin/hosts/set": call(liveHostSchema, nothing),
-    "/admin/hosts/remove": call(z.object({ process: z.string() }), nothing),
-    "/admin/hosts/lag": call(z.object({ lag: z.number().nonnegative() }), nothing),
+    /** `save` copies the tables; `use` restores the service from the latest copy. */
+    "/admin/table/copy": call(z.object({ action: z.enum(["save", "use"]) }), noResult),
+    "/admin/hosts/set": call(liveHostSchema, noResult),
+    "/admin/hosts/remove": call(z.object({ process: z.string() }), noResult),
+    "/admin/hosts/lag": call(z.object({ lag: z.number().nonnegative() }), noResult),
 };
 
 /** @internal */
@@ -79,13 +79,14 @@
 export type PlatformResult<P extends PlatformPath> = z.infer<(typeof platformCalls)[P]["result"]>;
 
 /**
- * An answer: a value, or a failure by its number. Each tells the era of the table service.
+ * A response: a value or a failure, and the era of the table service.
  *
  * @internal
  */
 export const answerSchema = z.object({
     value: z.unknown().optional(),
     failure: z.object({
+        /** The number of the result code. */
         code: z.number().int(),
         message: z.string(),
         retryAfter: z.number().optional(),
@@ -96,7 +97,7 @@
 /** @internal */
 export type Answer = z.infer<typeof answerSchema>;
 
-/** Writes an outcome as an answer. @internal */
+/** Converts an outcome to a response. @internal */
 export function toAnswer(outcome: Outcome<unknown>, tableEra: number): Answer {
     if (outcome.isOk) {
         return { value: outcome.value, tableEra };
@@ -105,13 +106,13 @@
     return { failure: { code: code.number, message, retryAfter }, tableEra };
 }
 
-/** Reads the failure of an answer. A number that this version does not know leaves the outcome unknown. @internal */
+/** Reads the failure of a response. A result code that this version does not know becomes `storeUnknown`. @internal */
 export function toFailure({ code, message, retryAfter }: NonNullable<Answer["failure"]>): Failure {
     const known = findResultCode(code) ?? platformCodes.storeUnknown;
     return failure(known, message, retryAfter === undefined ? {} : { retryAfter });
 }
 
-/** An outcome that nothing is known about. @internal */
+/** Returns the outcome of a call that may or may not have taken effect. @internal */
 export function unknownOutcome(message: string): Outcome<never> {
     return Result.err(failure(platformCodes.storeUnknown, message));
 }
--- a/packages/stores/src/lib/memory/AnsweredEra.ts
+++ b/packages/stores/src/lib/memory/AnsweredEra.ts
@@ -2,7 +2,8 @@
 import { type Row, type TableStore, type Transaction } from "../TableStore.js";
 
 /**
- * A stand-in for the table service as one process sees it: it learns of a new era only from an answer.
+ * Wraps a table store for tests, and updates the era only when a call returns. A process that calls the table service
+ * over HTTP sees the era in the same way.
  *
  * @public
  */
@@ -18,22 +19,22 @@
     }
 
     get(key: string): Promise<Outcome<Row>> {
-        return this.learn(this.table.get(key));
+        return this.withEraUpdate(this.table.get(key));
     }
 
     scan(prefix: string, after: string, limit: number): Promise<Outcome<Row[]>> {
-        return this.learn(this.table.scan(prefix, after, limit));
+        return this.withEraUpdate(this.table.scan(prefix, after, limit));
     }
 
     commit(transaction: Transaction): Promise<Outcome<Record<string, number>>> {
-        return this.learn(this.table.commit(transaction));
+        return this.withEraUpdate(this.table.commit(transaction));
     }
 
     findCommit(writeId: string): Promise<Outcome<Record<string, number> | undefined>> {
-        return this.learn(this.table.findCommit(writeId));
+        return this.withEraUpdate(this.table.findCommit(writeId));
     }
 
-    private async learn<T>(call: Promise<T>): Promise<T> {
+    private async withEraUpdate<T>(call: Promise<T>): Promise<T> {
         const answer = await call;
         this.answered = this.table.era;
         return answer;
--- a/packages/stores/src/lib/memory/FaultInjector.ts
+++ b/packages/stores/src/lib/memory/FaultInjector.ts
@@ -4,22 +4,22 @@
 import { TokenBucket } from "../TokenBucket.js";
 
 /**
- * What goes wrong in a stand-in. Every field can be changed while it runs.
+ * The faults of an in-memory service. Each can be changed at run time.
  *
  * @public
  */
 export const faultSettingsSchema = z.object({
     /** Refuses every call. */
     down: z.boolean().default(false),
-    /** Milliseconds that a call takes before it has its effect. */
+    /** Milliseconds before a call takes effect. */
     delay: z.number().nonnegative().default(0),
-    /** Milliseconds between the effect and the answer. */
+    /** Milliseconds between the effect and the response. */
     answerDelay: z.number().nonnegative().default(0),
     /** How many of the next writes are lost before they take effect. */
     losesBefore: z.number().int().nonnegative().default(0),
-    /** How many of the next writes take effect, but lose their answer. */
+    /** How many of the next writes take effect, but whose response is lost. */
     losesAfter: z.number().int().nonnegative().default(0),
-    /** Reads answer from a copy made when this was switched on. Conditions of writes still see the truth. */
+    /** Reads use a copy made when this was switched on. Conditions of writes are still checked against current rows. */
     stale: z.boolean().default(false),
     /** Reads above this rate are refused. */
     readsPerSecond: z.number().positive().optional(),
@@ -42,19 +42,19 @@
 export type CallKind = "read" | "write";
 
 /**
- * Runs the calls of a stand-in and makes them fail as told.
+ * Runs the calls of an in-memory service and injects the configured faults.
  *
  * @public
  */
 export class FaultInjector {
-    /** Calls that arrived, refused ones included. */
+    /** Calls that arrived, including refused ones. */
     readonly arrivals = { read: 0, write: 0 };
     private settings = faultSettingsSchema.parse({});
     private limits: Partial<Record<CallKind, TokenBucket>> = {};
 
     constructor(private readonly clock: Clock) {}
 
-    /** The faults in force. */
+    /** The current faults. */
     get faults(): FaultSettings {
         return this.settings;
     }
@@ -71,7 +71,7 @@
     /**
      * Runs one call.
      *
-     * @param effect - Does the work, at once.
+     * @param effect - Performs the call synchronously.
      */
     async run<T>(kind: CallKind, effect: () => Outcome<T>): Promise<Outcome<T>> {
         this.arrivals[kind]++;
--- a/packages/stores/src/lib/memory/MemoryLiveList.ts
+++ b/packages/stores/src/lib/memory/MemoryLiveList.ts
@@ -9,13 +9,13 @@
 }
 
 /**
- * A stand-in for the platform's live list: what it shows is as old as its lag.
+ * An in-memory live list for tests and trials. Reads return the state from `lag` milliseconds ago.
  *
  * @public
  */
 export class MemoryLiveList implements LiveList {
     readonly faults: FaultInjector;
-    /** How old the list is that readers see, in milliseconds. */
+    /** The age of the list that reads return, in milliseconds. */
     lag: number;
     private readonly clock: Clock;
     private readonly hosts = new Map<string, LiveHost>();
@@ -30,26 +30,26 @@
     /** Adds a host, or replaces the entry of the same process. */
     set(host: LiveHost): void {
         this.hosts.set(host.process, { ...host });
-        this.remember();
+        this.recordSnapshot();
     }
 
     /** Removes the entry of a process. */
     remove(process: string): void {
         this.hosts.delete(process);
-        this.remember();
+        this.recordSnapshot();
     }
 
     read(): Promise<Outcome<LiveHost[]>> {
-        return this.faults.run("read", () => Result.ok(this.visible().map(host => ({ ...host }))));
+        return this.faults.run("read", () => Result.ok(this.visibleHosts().map(host => ({ ...host }))));
     }
 
-    private remember(): void {
+    private recordSnapshot(): void {
         this.snapshots.push({ time: this.clock.now(), hosts: [...this.hosts.values()] });
     }
 
-    private visible(): readonly LiveHost[] {
-        const moment = this.clock.now() - this.lag;
-        const index = this.snapshots.findLastIndex(snapshot => snapshot.time <= moment);
+    private visibleHosts(): readonly LiveHost[] {
+        const newestVisible = this.clock.now() - this.lag;
+        const index = this.snapshots.findLastIndex(snapshot => snapshot.time <= newestVisible);
         return this.snapshots[index]?.hosts ?? [];
     }
 }
--- a/packages/stores/src/lib/memory/MemoryObjectStore.ts
+++ b/packages/stores/src/lib/memory/MemoryObjectStore.ts
@@ -4,7 +4,7 @@
 import { FaultInjector } from "./FaultInjector.js";
 
 /**
- * A stand-in for the object store that lives in memory.
+ * An in-memory object store for tests and trials.
  *
  * @public
  */
--- a/packages/stores/src/lib/memory/MemoryTableStore.test.ts
+++ b/packages/stores/src/lib/memory/MemoryTableStore.test.ts
@@ -6,7 +6,7 @@
 function setUp() {
     const clock = new ManualClock();
     const effects: string[] = [];
-    const store = new MemoryTableStore({ clock, writeIdMemory: 1000, onEffect: id => effects.push(id) });
+    const store = new MemoryTableStore({ clock, writeIdRetention: 1000, onEffect: id => effects.push(id) });
     return { clock, effects, store };
 }
 
@@ -25,7 +25,7 @@
     assert.deepEqual(effects, ["1"]);
 });
 
-test("a deleted row never shows an old version again", async () => {
+test("a row deleted and written again never reuses a version", async () => {
     const { store } = setUp();
     const write = async (writeId: string, value?: unknown) => {
         const outcome = await store.commit({ writeId, conditions: [], writes: [{ key: "a", value }] });
@@ -36,7 +36,7 @@
     assert.ok(await write("3", "x") > first);
 });
 
-test("lost answers tell nothing and write ids are forgotten in time", async () => {
+test("lost responses are reported as unknown, and write ids are dropped after their retention", async () => {
     const { store, clock, effects } = setUp();
     store.faults.set({ losesBefore: 1, losesAfter: 1 });
     for (const writeId of ["1", "2"]) {
@@ -60,7 +60,7 @@
     assert.ok((await store.commit({ ...create, writeId: "2" })).isErr);
 });
 
-test("rates above the limit are refused, and down refuses all", async () => {
+test("calls above the rate limit are refused, and a store that is down refuses all", async () => {
     const { store, clock } = setUp();
     store.faults.set({ readsPerSecond: 2 });
     const reads = await Promise.all([1, 2, 3].map(() => store.get("a")));
@@ -71,7 +71,7 @@
     assert.ok((await store.get("a")).isErr);
 });
 
-test("scans follow key order from a key on", async () => {
+test("scans return keys in order, starting after the given key", async () => {
     const { store } = setUp();
     const writes = ["p/2", "p/1", "q/1", "p/3"].map(key => ({ key, value: key }));
     await store.commit({ writeId: "1", conditions: [], writes });
--- a/packages/stores/src/lib/memory/MemoryTableStore.ts
+++ b/packages/stores/src/lib/memory/MemoryTableStore.ts
@@ -10,8 +10,8 @@
  */
 export interface MemoryTableStoreOptions {
     readonly clock: Clock;
-    /** How long the result of a transaction can be asked for, in milliseconds. */
-    readonly writeIdMemory?: number;
+    /** Milliseconds for which the result of a transaction can be looked up. */
+    readonly writeIdRetention?: number;
     /** Called for each transaction that takes effect, with its write id. */
     readonly onEffect?: (writeId: string) => void;
 }
@@ -21,42 +21,42 @@
     readonly version: number;
 }
 
-interface RememberedCommit {
+interface CommitRecord {
     readonly time: number;
     readonly versions: Record<string, number>;
 }
 
 /** Ten minutes, in milliseconds. */
-const defaultWriteIdMemory = 600_000;
+const defaultWriteIdRetention = 600_000;
 
 /**
- * A stand-in for the table service that lives in memory. It does not look at the write id of a commit: one that
- * arrives twice takes effect twice unless its conditions prevent that, as the most careless of real services would.
+ * An in-memory table service for tests and trials. It does not deduplicate commits by write id: a commit that arrives
+ * twice takes effect twice unless its conditions prevent that. This models the weakest guarantee of a real service.
  *
  * @public
  */
 export class MemoryTableStore implements TableStore {
     readonly faults: FaultInjector;
     private readonly clock: Clock;
-    private readonly writeIdMemory: number;
+    private readonly writeIdRetention: number;
     private readonly onEffect: (writeId: string) => void;
     private readonly rows = new Map<string, StoredRow>();
-    private readonly commits = new Map<string, RememberedCommit>();
+    private readonly commits = new Map<string, CommitRecord>();
     private staleRows: Map<string, StoredRow> | undefined;
-    private sorted: { readonly rows: Map<string, StoredRow>; readonly keys: readonly string[]; } | undefined;
-    /** One counter for all rows, so that a row deleted and written again never repeats a version. */
+    private sortedKeys: { readonly rows: Map<string, StoredRow>; readonly keys: readonly string[]; } | undefined;
+    /** One counter for all rows, so that a row deleted and written again never reuses a version. */
     private version = 0;
-    private copiesUsed = 0;
+    private restoreCount = 0;
 
     constructor(options: MemoryTableStoreOptions) {
         this.clock = options.clock;
-        this.writeIdMemory = options.writeIdMemory ?? defaultWriteIdMemory;
+        this.writeIdRetention = options.writeIdRetention ?? defaultWriteIdRetention;
         this.onEffect = options.onEffect ?? (() => {});
         this.faults = new FaultInjector(options.clock);
     }
 
     get era(): number {
-        return this.copiesUsed;
+        return this.restoreCount;
     }
 
     get(key: string): Promise<Outcome<Row>> {
@@ -76,16 +76,16 @@
 
     findCommit(writeId: string): Promise<Outcome<Record<string, number> | undefined>> {
         return this.faults.run("read", () => {
-            this.forgetCommits();
+            this.evictCommits();
             return Result.ok(this.commits.get(writeId)?.versions);
         });
     }
 
     /**
-     * Comes back from a copy of itself, as a real service may after a loss: what was written since is gone, and its versions are given
-     * out again.
+     * Copies the rows. Restoring the copy discards all later writes and assigns their versions again, as a real service
+     * may do after a loss of data.
      *
-     * @returns What goes back to the present rows.
+     * @returns A function that restores the copy.
      */
     saveCopy(): () => void {
         const rows = new Map(this.rows);
@@ -95,17 +95,17 @@
             rows.forEach((row, key) => this.rows.set(key, row));
             this.commits.clear();
             this.version = version;
-            this.copiesUsed++;
-            this.sorted = undefined;
+            this.restoreCount++;
+            this.sortedKeys = undefined;
         };
     }
 
     private keysAfter(prefix: string, after: string, limit: number): string[] {
-        const rows = this.readable();
-        if (this.sorted?.rows !== rows) {
-            this.sorted = { rows, keys: [...rows.keys()].sort() };
+        const rows = this.readableRows();
+        if (this.sortedKeys?.rows !== rows) {
+            this.sortedKeys = { rows, keys: [...rows.keys()].sort() };
         }
-        const { keys } = this.sorted;
+        const { keys } = this.sortedKeys;
         const begin = after >= prefix ? firstIndex(keys, key => key > after) : firstIndex(keys, key => key >= prefix);
         const end = firstIndex(keys, key => key > prefix && !key.startsWith(prefix));
         return keys.slice(begin, Math.min(end, begin + limit));
@@ -123,7 +123,7 @@
         for (const { key, value } of transaction.writes) {
             versions[key] = this.write(key, value);
         }
-        this.forgetCommits();
+        this.evictCommits();
         this.commits.set(transaction.writeId, { time: this.clock.now(), versions });
         this.onEffect(transaction.writeId);
         return Result.ok(versions);
@@ -131,7 +131,7 @@
 
     private write(key: string, value: unknown): number {
         if ((value === undefined) === this.rows.has(key)) {
-            this.sorted = undefined;
+            this.sortedKeys = undefined;
         }
         if (value === undefined) {
             this.rows.delete(key);
@@ -142,11 +142,11 @@
     }
 
     private row(key: string): Row {
-        const stored = this.readable().get(key);
+        const stored = this.readableRows().get(key);
         return { key, value: structuredClone(stored?.value), version: stored?.version ?? 0 };
     }
 
-    private readable(): Map<string, StoredRow> {
+    private readableRows(): Map<string, StoredRow> {
         if (!this.faults.faults.stale) {
             this.staleRows = undefined;
             return this.rows;
@@ -155,8 +155,8 @@
         return this.staleRows;
     }
 
-    private forgetCommits(): void {
-        const oldest = this.clock.now() - this.writeIdMemory;
+    private evictCommits(): void {
+        const oldest = this.clock.now() - this.writeIdRetention;
         for (const [writeId, commit] of this.commits) {
             if (commit.time >= oldest) {
                 return;
@@ -166,7 +166,7 @@
     }
 }
 
-/** The first index for which a condition holds that holds for all later ones too. */
+/** Returns the index of the first key that meets a condition, by binary search; all later keys must meet it too. */
 function firstIndex(keys: readonly string[], condition: (key: string) => boolean): number {
     let low = 0;
     let high = keys.length;
--- a/packages/stores/src/lib/memory/MemoryWeightStore.ts
+++ b/packages/stores/src/lib/memory/MemoryWeightStore.ts
@@ -12,12 +12,12 @@
     readonly clock: Clock;
     /** The size of a layer of a model version in bytes, or undefined for a version that the store does not hold. */
     readonly layerSize: (model: string, version: string, layer: number) => number | undefined;
-    /** Bytes per second for all loads together. */
+    /** The rate limit shared by all loads, in bytes per second. */
     readonly rate: number;
 }
 
 /**
- * A stand-in for the weight store.
+ * An in-memory weight store for tests and trials.
  *
  * @public
  */
