--- a/packages/transport/src/lib/BaseLink.ts
+++ b/packages/transport/src/lib/BaseLink.ts
@@ -5,14 +5,14 @@
 import { type Message } from "./messages/Message.js";
 import { RpcChannel } from "./rpc/RpcChannel.js";
 
-/** Built-in method that a peer answers at once; it shows that the path works in both directions. @internal */
+/** Built-in method that a peer answers immediately, which shows that the link works in both directions. @internal */
 export const pingMethod = "link.ping";
 
-/** Built-in notification: the sender will close this link soon, on purpose. @internal */
+/** Built-in notification: the sender will close this link soon, intentionally. @internal */
 export const closingMethod = "link.closing";
 
 /**
- * What carries the messages of a {@link BaseLink}.
+ * The connection that carries the messages of a {@link BaseLink}.
  *
  * @internal
  */
@@ -32,13 +32,13 @@
 }
 
 /**
- * The part of a link that is the same over every wire: handlers, JSON-RPC, and closing once.
+ * The part of a link that does not depend on the wire: message handlers, JSON-RPC and the closed state.
  *
  * @internal
  */
 export class BaseLink implements Link {
     readonly peer: Hello;
-    /** True once the peer has said that it will close this link. */
+    /** True once the peer has announced that it will close this link. */
     peerClosing = false;
     private isOpen = true;
     private readonly wire: Wire;
@@ -54,7 +54,7 @@
         const methods: Record<string, RpcMethod> = {
             ...options.methods,
             [pingMethod]: () => Promise.resolve(Result.ok(true)),
-            [closingMethod]: () => Promise.resolve(Result.ok(this.notePeerClosing())),
+            [closingMethod]: () => Promise.resolve(Result.ok(this.markPeerClosing())),
         };
         this.rpc = new RpcChannel({
             clock: options.clock,
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Tells the peer that this link will close soon, on purpose. */
+    /** Notifies the peer that this link will close soon, intentionally. */
     announceClosing(): void {
         if (this.isOpen) {
             this.rpc.notify(closingMethod, {});
@@ -112,18 +112,21 @@
     }
 
     /**
-     * Takes a message from the wire.
+     * Handles a message from the wire.
      *
-     * @returns The failure for which the wire must now be closed, if the message breaks the protocol.
+     * @returns The failure with which the wire must be closed if the message violates the protocol.
      */
     receive(message: Message): Failure | undefined {
         if (message.type === "hello") {
-            return failure(transportCodes.protocolViolation, "a second hello");
+            return failure(transportCodes.protocolViolation, "unexpected second hello");
         }
         if (message.type === "rpc") {
             return this.rpc.receive(message.body)
                 ? undefined
-                : failure(transportCodes.protocolViolation, "rpc message holds no JSON-RPC");
+                : failure(
+                    transportCodes.protocolViolation,
+                    "body of rpc message is neither a JSON-RPC request nor a response",
+                );
         }
         if (this.handler === undefined) {
             this.early.push(message);
@@ -133,7 +136,7 @@
         return undefined;
     }
 
-    /** The wire has closed. */
+    /** Handles the end of the wire. */
     ended(reason: Failure | undefined): void {
         if (!this.isOpen) {
             return;
@@ -145,7 +148,7 @@
         this.closeHandlers.forEach(handler => handler(reason));
     }
 
-    private notePeerClosing(): boolean {
+    private markPeerClosing(): boolean {
         this.peerClosing = true;
         return true;
     }
--- a/packages/transport/src/lib/Link.ts
+++ b/packages/transport/src/lib/Link.ts
@@ -6,7 +6,7 @@
  * Answers one JSON-RPC method.
  *
  * @param params - The parameters as they arrived; the method validates them.
- * @param link - The link on which the call came.
+ * @param link - The link on which the call arrived.
  * @public
  */
 export type RpcMethod = (params: unknown, link: Link) => Promise<Outcome<unknown>>;
@@ -17,13 +17,13 @@
  * @public
  */
 export interface Link {
-    /** Who is at the other end. */
+    /** The hello that the peer sent. */
     readonly peer: Hello;
     /** False once the link is closed; messages sent from then on are dropped. */
     readonly open: boolean;
     /** Bytes accepted by {@link Link.send} that the operating system has not yet taken. */
     readonly queuedBytes: number;
-    /** Queues a message. Messages of one turn of the event loop leave in one write. */
+    /** Queues a message. Messages of one turn of the event loop are sent in one write. */
     send(message: Message): void;
     /**
      * Calls a JSON-RPC method of the peer.
@@ -34,13 +34,13 @@
      * @returns The peer's answer; `transportCodes.requestTimeout` or `connectionLost` when the outcome is unknown.
      */
     request(method: string, params: unknown, timeout: number): Promise<Outcome<unknown>>;
-    /** Sets the one function that takes every message except `hello` and `rpc`. */
+    /** Sets the only function that handles messages other than `hello` and `rpc`. */
     onMessage(handler: (message: Message) => void): void;
     /**
      * Adds a function that runs once, when the link has closed. It is given the failure that closed the link, or
-     * undefined when either end closed it on purpose.
+     * undefined when either end closed it intentionally.
      */
     onClose(handler: (reason: Failure | undefined) => void): void;
-    /** Flushes what is queued, then closes. */
+    /** Flushes queued messages, then closes the link. */
     close(): void;
 }
--- a/packages/transport/src/lib/LinkPool.ts
+++ b/packages/transport/src/lib/LinkPool.ts
@@ -24,9 +24,9 @@
      * @returns The link; `transportCodes.notConnected` when none could be opened, which proves that nothing was sent.
      */
     connect(address: Address): Promise<Outcome<Link>>;
-    /** Returns the link to an address if one is open now. */
+    /** Returns the open link to an address, if there is one. */
     current(address: Address): Link | undefined;
-    /** Adds a function that runs for every link opened from here, before its first message. */
+    /** Adds a function that runs for every link that this pool opens, before its first message. */
     onOpen(handler: (link: Link, address: Address) => void): void;
     /** Closes every link. */
     close(): void;
--- a/packages/transport/src/lib/frames/FrameParser.test.ts
+++ b/packages/transport/src/lib/frames/FrameParser.test.ts
@@ -8,8 +8,8 @@
 
 const maxFrame = 64 * 1024;
 
-/** Cuts bytes into chunks of the given sizes, over and over. */
-function cut(bytes: Buffer, sizes: readonly number[]): Buffer[] {
+/** Splits bytes into chunks, repeating the given sizes. */
+function splitIntoChunks(bytes: Buffer, sizes: readonly number[]): Buffer[] {
     const chunks: Buffer[] = [];
     for (let start = 0, turn = 0; start < bytes.length; turn++) {
         const size = sizes[turn % sizes.length] ?? 1;
@@ -19,7 +19,7 @@
     return chunks;
 }
 
-/** Feeds chunks to a parser and gathers what it accepts, up to the first failure. */
+/** Feeds chunks to a parser and collects the accepted messages, up to the first failure. */
 function parse(chunks: readonly Buffer[]): { messages: Message[]; failed: boolean; } {
     const parser = new FrameParser(maxFrame);
     const messages: Message[] = [];
@@ -62,15 +62,15 @@
 }, { noNullPrototype: true });
 const batches = fc.array(fc.array(fc.oneof(frameMessage, tokensMessage), { minLength: 1, maxLength: 5 }));
 
-/** Buffers and plain byte arrays compare as equal. */
+/** Converts the data of frames to plain arrays, so that buffers and byte arrays compare as equal. */
 function plain(messages: readonly Message[]): unknown {
     return messages.map(message => message.type === "frame" ? { ...message, data: [...message.data] } : message);
 }
 
-test("messages survive any cut of the stream", () => {
+test("messages are decoded however the stream is split into chunks", () => {
     fc.assert(fc.property(batches, fc.array(fc.integer({ min: 1, max: 90 }), { minLength: 1 }), (sent, sizes) => {
         const bytes = Buffer.concat(sent.map(batch => buildFrame(batch.map(encodeMessage))));
-        const result = parse(cut(bytes, sizes));
+        const result = parse(splitIntoChunks(bytes, sizes));
         assert.equal(result.failed, false);
         assert.deepEqual(plain(result.messages), plain(sent.flat()));
     }));
@@ -78,7 +78,7 @@
 
 test("arbitrary bytes never throw and never give a message that fails its schema", () => {
     fc.assert(fc.property(fc.uint8Array({ maxLength: 400 }), fc.integer({ min: 1, max: 50 }), (bytes, size) => {
-        const raw = parse(cut(Buffer.from(bytes), [size]));
+        const raw = parse(splitIntoChunks(Buffer.from(bytes), [size]));
         const framed = Buffer.alloc(bytes.length + 4);
         framed.writeUInt32BE(bytes.length, 0);
         framed.set(bytes, 4);
--- a/packages/transport/src/lib/frames/FrameParser.ts
+++ b/packages/transport/src/lib/frames/FrameParser.ts
@@ -5,7 +5,7 @@
 export const lengthBytes = 4;
 
 /**
- * Cuts a stream of bytes into length-prefixed frames. Memory is bounded by one frame plus the chunk at hand.
+ * Splits a stream of bytes into length-prefixed frames. Memory is bounded by one frame plus the current chunk.
  *
  * @internal
  */
@@ -21,16 +21,16 @@
         this.maxFrame = maxFrame;
     }
 
-    /** Adds bytes as they arrived. */
+    /** Adds received bytes. */
     push(chunk: Buffer): void {
         this.chunks.push(chunk);
         this.buffered += chunk.length;
     }
 
     /**
-     * Takes the next whole frame, without its length.
+     * Removes the next complete frame and returns it without its length.
      *
-     * @returns The frame, undefined while it is not whole, or `protocolViolation` for good once a length is wrong.
+     * @returns The frame, undefined while it is incomplete, or `protocolViolation` from the first invalid length on.
      */
     next(): Outcome<Buffer | undefined> {
         if (this.broken !== undefined) {
--- a/packages/transport/src/lib/frames/codec.ts
+++ b/packages/transport/src/lib/frames/codec.ts
@@ -7,11 +7,11 @@
 /** Plain maps only: with shared record structures a frame could not be decoded on its own. */
 const packr = new Packr({ useRecords: false, int64AsType: "number" });
 
-/** Marks a MessagePack array whose length follows in 32 bits. */
+/** The MessagePack marker of an array whose length follows in 32 bits. */
 const arrayMarker = 0xdd;
 const arrayHeaderBytes = 5;
 
-/** Bytes that a frame has besides its messages. @internal */
+/** Bytes of a frame in addition to its encoded messages. @internal */
 export const frameOverhead = lengthBytes + arrayHeaderBytes;
 
 /**
@@ -45,7 +45,7 @@
  * Decodes the messages of a frame and checks each against its schema.
  *
  * @param body - The frame without its length.
- * @returns The messages, or `protocolViolation` if any one of them is malformed.
+ * @returns The messages, or `protocolViolation` if any of them is malformed.
  * @internal
  */
 export function decodeFrame(body: Buffer): Outcome<Message[]> {
--- a/packages/transport/src/lib/memory/linkPair.ts
+++ b/packages/transport/src/lib/memory/linkPair.ts
@@ -12,7 +12,7 @@
  * @public
  */
 export interface LinkEndOptions {
-    /** What this end says about itself: the other end's `peer`. */
+    /** The hello of this end, which is the `peer` of the other end's link. */
     readonly hello: Hello;
     /** JSON-RPC methods that this end answers. */
     readonly methods?: Readonly<Record<string, RpcMethod>>;
@@ -26,14 +26,14 @@
 export interface LinkPairOptions {
     readonly left: LinkEndOptions;
     readonly right: LinkEndOptions;
-    /** The clock on which delays pass. */
+    /** The clock that measures delays. */
     readonly clock?: Clock;
     /** One-way delay in milliseconds; 0 delivers as soon as the current callback has returned. */
     readonly delay?: number;
 }
 
 /**
- * One direction of an in-memory pair, as a test controls it.
+ * One direction of an in-memory pair, for a test to control.
  *
  * @public
  */
@@ -42,9 +42,9 @@
     delay: number;
     /** Messages sent and not yet delivered. */
     readonly inFlight: number;
-    /** Stops delivery until {@link LinkDirection.release}, as a link that stalls. */
+    /** Stops delivery until {@link LinkDirection.release}, like a stalled connection. */
     hold(): void;
-    /** Delivers what was held, and goes on. */
+    /** Delivers the held messages and resumes delivery. */
     release(): void;
 }
 
@@ -58,7 +58,7 @@
     readonly right: Link;
     readonly leftToRight: LinkDirection;
     readonly rightToLeft: LinkDirection;
-    /** Loses everything in flight and closes both ends with `connectionLost`. */
+    /** Drops everything in flight and closes both ends with `connectionLost`. */
     cut(): void;
 }
 
@@ -83,8 +83,8 @@
     leftToRight.connect(left, right);
     rightToLeft.connect(right, left);
     function cut(): void {
-        leftToRight.lose();
-        rightToLeft.lose();
+        leftToRight.dropQueued();
+        rightToLeft.dropQueued();
         const reason = failure(transportCodes.connectionLost, "the link was cut");
         left.ended(reason);
         right.ended(reason);
@@ -96,11 +96,11 @@
     return new BaseLink({ peer: other.hello, clock, methods: own.methods ?? {}, wire });
 }
 
-/** What travels: an encoded message, or the end of the stream. */
-type Parcel = Buffer | "end";
+/** A queued item: an encoded message, or the end of the stream. */
+type QueueItem = Buffer | "end";
 
 class MemoryDirection implements Wire, LinkDirection {
-    private readonly parcels: { parcel: Parcel; due: number; }[] = [];
+    private readonly queue: { item: QueueItem; due: number; }[] = [];
     private held = false;
     private lastDue = 0;
     private from: BaseLink | undefined;
@@ -109,11 +109,11 @@
     constructor(private readonly clock: Clock, public delay: number) {}
 
     get inFlight(): number {
-        return this.parcels.length;
+        return this.queue.length;
     }
 
     get queuedBytes(): number {
-        return this.parcels.reduce((sum, { parcel }) => sum + (parcel === "end" ? 0 : parcel.length), 0);
+        return this.queue.reduce((sum, { item }) => sum + (item === "end" ? 0 : item.length), 0);
     }
 
     connect(from: BaseLink, to: BaseLink): void {
@@ -138,14 +138,14 @@
         this.deliverDue();
     }
 
-    lose(): void {
-        this.parcels.length = 0;
+    dropQueued(): void {
+        this.queue.length = 0;
     }
 
-    private enqueue(parcel: Parcel): void {
+    private enqueue(item: QueueItem): void {
         const due = Math.max(this.lastDue, this.clock.now() + this.delay);
         this.lastDue = due;
-        this.parcels.push({ parcel, due });
+        this.queue.push({ item, due });
         if (due <= this.clock.now()) {
             queueMicrotask(() => this.deliverDue());
             return;
@@ -155,21 +155,21 @@
 
     private deliverDue(): void {
         while (!this.held) {
-            const next = this.parcels[0];
+            const next = this.queue[0];
             if (next === undefined || next.due > this.clock.now()) {
                 return;
             }
-            this.parcels.shift();
-            this.deliver(next.parcel);
+            this.queue.shift();
+            this.deliver(next.item);
         }
     }
 
-    private deliver(parcel: Parcel): void {
-        if (parcel === "end") {
+    private deliver(item: QueueItem): void {
+        if (item === "end") {
             this.to?.ended(undefined);
             return;
         }
-        const messages = decodeFrame(buildFrame([parcel]).subarray(lengthBytes));
+        const messages = decodeFrame(buildFrame([item]).subarray(lengthBytes));
         if (messages.isErr) {
             this.from?.ended(messages.error);
             this.to?.ended(messages.error);
--- a/packages/transport/src/lib/messages/Message.ts
+++ b/packages/transport/src/lib/messages/Message.ts
@@ -22,7 +22,7 @@
     replyMessageSchema,
 } from "./serviceMessages.js";
 
-/** A JSON-RPC 2.0 request, notification or response, carried whole. @public */
+/** Carries a complete JSON-RPC 2.0 request, notification or response. @public */
 export const rpcMessageSchema = z.object({ type: z.literal("rpc"), body: z.unknown() });
 
 /**
--- a/packages/transport/src/lib/messages/common.ts
+++ b/packages/transport/src/lib/messages/common.ts
@@ -1,14 +1,14 @@
 import { z } from "zod";
 
 /**
- * The version of the protocol between processes. Both ends of a link must speak the same.
+ * The version of the protocol between processes. Both ends of a link must use the same version.
  *
  * @public
  */
 export const protocolVersion = 1;
 
 /**
- * Who is at the other end of a link: the first message in each direction.
+ * Identifies a process to its peer; the first message in each direction of a link.
  *
  * @public
  */
@@ -28,7 +28,8 @@
 export type Hello = z.infer<typeof helloSchema>;
 
 /**
- * What an agent tells about itself. It rides on answers, and is also sent on its own while a link carries traffic.
+ * The load that an agent reports. It is part of answers, and also sent as a message of its own while a link carries
+ * traffic.
  *
  * @public
  */
@@ -38,17 +39,17 @@
     running: z.number(),
     /** Requests waiting for a slot. */
     queued: z.number(),
-    /** Requests that may run at once. */
+    /** Requests that can run concurrently. */
     slots: z.number(),
     /** The recent time between tokens of one stream, in milliseconds. */
     tokenInterval: z.number(),
     /** The predicted time to the first token of a request that arrives now, in milliseconds. */
     firstTokenEstimate: z.number(),
-    /** True once the target takes no new work. */
+    /** True once the target accepts no new work. */
     leaving: z.boolean(),
     /** Changes when the prefix cache was cleared, or when more of its events were lost than can be accounted for. */
     cacheGeneration: z.number().int().nonnegative().optional(),
-    /** The share of the prefix cache's blocks that is evicted in a minute; above 1 when all are replaced sooner. */
+    /** The share of the prefix cache's blocks evicted per minute; above 1 when all are replaced in less time. */
     cacheEvicted: z.number().nonnegative().optional(),
 });
 
@@ -56,14 +57,14 @@
 export type LoadReport = z.infer<typeof loadReportSchema>;
 
 /**
- * A load report on its own. An agent that is leaving sends one at once on every link.
+ * A load report as a message of its own. An agent that is leaving sends one immediately on every link.
  *
  * @public
  */
 export const loadMessageSchema = z.object({ type: z.literal("load"), load: loadReportSchema });
 
 /**
- * A failure as it travels between processes. See `Failure` for the meaning of its fields.
+ * A failure as it is sent between processes. See `Failure` for the meaning of its fields.
  *
  * @public
  */
--- a/packages/transport/src/lib/messages/pipelineMessages.ts
+++ b/packages/transport/src/lib/messages/pipelineMessages.ts
@@ -21,7 +21,7 @@
 export type Stage = z.infer<typeof stageSchema>;
 
 /**
- * How tokens are drawn and when generation ends.
+ * How tokens are sampled and when generation ends.
  *
  * @public
  */
@@ -46,7 +46,7 @@
 /** @public */
 export type Exporter = z.infer<typeof exporterSchema>;
 
-/** An attempt of a request: the pair that every pipeline message carries. */
+/** Identifies an attempt of a request; every pipeline message carries these two fields. */
 const attempt = {
     request: z.string(),
     /** Grows with every attempt of the same request. A stage refuses an epoch lower than one it has seen. */
@@ -65,21 +65,21 @@
     version: z.string(),
     adapter: z.string().optional(),
     organisation: z.string(),
-    /** Higher goes first. */
+    /** Requests with a higher value run first. */
     priority: z.number().int(),
     /** Milliseconds left until the caller's deadline, counted from the arrival of this message. */
     timeLeft: z.number(),
     /** Milliseconds left until the bound on the first token; the head refuses what it predicts to miss. */
     firstTokenBound: z.number(),
     prompt: z.string(),
-    /** Tokens already delivered to the caller by earlier attempts. The attempt continues behind them. */
+    /** Tokens already delivered to the caller by earlier attempts. The attempt continues after them. */
     produced: z.array(z.number().int()),
     sampling: samplingSchema,
     /** The chain, in the order of layers. The head is the first. */
     stages: z.array(stageSchema).min(1),
     /** The claim under which a request that is not idempotent runs; see docs/design/at-most-once.md. */
     claim: z.string().optional(),
-    /** Stages of an earlier attempt that still live and can export the KV cache of their layers. */
+    /** Stages of an earlier attempt that are still alive and can export the KV cache of their layers. */
     exporters: z.array(exporterSchema).default([]),
     /** Tokens that the head may send before the entry grants more. */
     credit: z.number().int(),
@@ -90,14 +90,14 @@
 export type OpenMessage = z.infer<typeof openMessageSchema>;
 
 /**
- * Entry to head: tokens up to this position of the answer (excluded) may now be sent. Stage to the stage before it: frames
- * of the prompt up to this position of the sequence (excluded) may now be sent.
+ * Entry to head: tokens up to this position of the answer (excluded) may now be sent. Stage to the previous stage:
+ * frames of the prompt up to this position of the sequence (excluded) may now be sent.
  *
  * @public
  */
 export const creditMessageSchema = z.object({ type: z.literal("credit"), ...attempt, upTo: z.number().int() });
 
-/** Entry to head, and head to the other stages: stop, and free everything held for the request. @public */
+/** Entry to head, and head to the other stages: stop, and free all resources held for the request. @public */
 export const cancelMessageSchema = z.object({
     type: z.literal("cancel"),
     ...attempt,
@@ -118,7 +118,7 @@
 /** @public */
 export type TokensMessage = z.infer<typeof tokensMessageSchema>;
 
-/** Head to entry: the answer is whole. @public */
+/** Head to entry: the answer is complete. @public */
 export const doneMessageSchema = z.object({
     type: z.literal("done"),
     ...attempt,
@@ -136,14 +136,14 @@
 /** @public */
 export type DoneMessage = z.infer<typeof doneMessageSchema>;
 
-/** Head to entry: this attempt ended without a whole answer. @public */
+/** Head to entry: this attempt ended without a complete answer. @public */
 export const failedMessageSchema = z.object({
     type: z.literal("failed"),
     ...attempt,
     failure: wireFailureSchema,
     /** The target at fault, when one is known. */
     target: z.string().optional(),
-    /** True when that target only leaves, so that its KV cache can still be exported. */
+    /** True when that target is leaving but still running, so that its KV cache can be exported. */
     exportable: z.boolean().optional(),
     load: loadReportSchema.optional(),
 });
@@ -184,7 +184,7 @@
     count: z.number().int().positive(),
     /** The layer that must run next. */
     layer: z.number().int().nonnegative(),
-    /** True while the prompt or tokens of earlier attempts are replayed and no token is wanted. */
+    /** True while the prompt or tokens of earlier attempts are replayed and no token is to be sampled. */
     prefill: z.boolean(),
     data: z.instanceof(Uint8Array),
 });
@@ -192,11 +192,11 @@
 /** @public */
 export type FrameMessage = z.infer<typeof frameMessageSchema>;
 
-/** Last stage to head: the token drawn after a position. @public */
+/** Last stage to head: the token sampled after a position. @public */
 export const sampledMessageSchema = z.object({
     type: z.literal("sampled"),
     ...attempt,
-    /** The position in the sequence of the token drawn. */
+    /** The position in the sequence of the sampled token. */
     position: z.number().int().nonnegative(),
     token: z.number().int(),
     text: z.string(),
@@ -204,7 +204,7 @@
     end: z.boolean(),
 });
 
-/** Stage to head: ready to take frames. The head starts behind the shortest cached prefix of all stages. @public */
+/** Stage to head: ready to receive frames. The head starts after the shortest cached prefix of all stages. @public */
 export const joinedMessageSchema = z.object({
     type: z.literal("joined"),
     ...attempt,
@@ -213,12 +213,12 @@
     cached: z.number().int().nonnegative(),
 });
 
-/** Stage to head: this stage cannot go on. @public */
+/** Stage to head: this stage cannot continue the attempt. @public */
 export const stageFailedMessageSchema = z.object({
     type: z.literal("stageFailed"),
     ...attempt,
     target: z.string(),
-    /** True when that target only leaves, so that its KV cache can still be exported. */
+    /** True when that target is leaving but still running, so that its KV cache can be exported. */
     exportable: z.boolean().optional(),
     failure: wireFailureSchema,
 });
--- a/packages/transport/src/lib/messages/serviceMessages.ts
+++ b/packages/transport/src/lib/messages/serviceMessages.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { loadReportSchema, wireFailureSchema } from "./common.js";
 
-/** Entry to agent: pass this call to the plain service beside you. @public */
+/** Entry to agent: forward this call to the agent's plain service. @public */
 export const callMessageSchema = z.object({
     type: z.literal("call"),
     request: z.string(),
@@ -11,13 +11,13 @@
     /** Milliseconds left until the caller's deadline, counted from the arrival of this message. */
     timeLeft: z.number(),
     method: z.string(),
-    /** Path and query below the service's root. */
+    /** The path and query, relative to the service's root. */
     path: z.string(),
     headers: z.record(z.string(), z.string()),
     body: z.instanceof(Uint8Array),
     /** The claim under which a call that is not idempotent runs; see docs/design/at-most-once.md. */
     claim: z.string().optional(),
-    /** Bytes of the answer's body that may be sent before a `replyCredit`. Without it nothing is held back. */
+    /** Bytes of the answer's body that may be sent before a `replyCredit`. Without it there is no limit. */
     credit: z.number().int().positive().optional(),
     traceparent: z.string().optional(),
 });
@@ -25,7 +25,7 @@
 /** @public */
 export type CallMessage = z.infer<typeof callMessageSchema>;
 
-/** Headers by name. A name that stands several times, such as `set-cookie`, has a list of its values. @public */
+/** Headers by name. A name that occurs several times, such as `set-cookie`, has a list of its values. @public */
 export const replyHeadersSchema = z.record(z.string(), z.union([z.string(), z.array(z.string())]));
 
 /** @public */
@@ -37,11 +37,11 @@
     request: z.string(),
     status: z.number().int(),
     headers: replyHeadersSchema,
-    /** True when the agent keeps to the call's `credit`; only then does it understand `replyCredit`. */
+    /** True when the agent honours the call's `credit`; only then does it support `replyCredit`. */
     credited: z.boolean().optional(),
 });
 
-/** Agent to entry: a piece of the answer's body; the last one closes the answer. @public */
+/** Agent to entry: a chunk of the answer's body; the last one ends the answer. @public */
 export const replyBodyMessageSchema = z.object({
     type: z.literal("replyBody"),
     request: z.string(),
@@ -50,7 +50,7 @@
     load: loadReportSchema.optional(),
 });
 
-/** Agent to entry: the call ended without a whole answer. @public */
+/** Agent to entry: the call ended without a complete answer. @public */
 export const callFailedMessageSchema = z.object({
     type: z.literal("callFailed"),
     request: z.string(),
@@ -65,5 +65,5 @@
     upTo: z.number().int().nonnegative(),
 });
 
-/** Entry to agent: the caller no longer waits. A call that is not idempotent still runs to its end. @public */
+/** Entry to agent: the caller has stopped waiting. A call that is not idempotent still runs to completion. @public */
 export const callCancelMessageSchema = z.object({ type: z.literal("callCancel"), request: z.string() });
--- a/packages/transport/src/lib/rpc/RpcChannel.ts
+++ b/packages/transport/src/lib/rpc/RpcChannel.ts
@@ -24,14 +24,14 @@
 import { z } from "zod";
 import { type Link, type RpcMethod } from "../Link.js";
 
-/** What a failure carries besides code and message. */
+/** The fields of a failure other than its code and message. */
 const errorDataSchema = z.object({ retryAfter: z.number().optional(), path: z.string().optional() });
 
 /** @internal */
 export interface RpcChannelOptions {
     readonly clock: Clock;
     readonly methods: Readonly<Record<string, RpcMethod>>;
-    /** The link on which calls arrive; it is handed to the methods. */
+    /** The link on which calls arrive; it is passed to the methods. */
     readonly link: Link;
     /** Sends a JSON-RPC request or response to the peer. */
     readonly send: (body: unknown) => void;
@@ -77,7 +77,7 @@
         this.client.notify(method, params);
     }
 
-    /** Takes a JSON-RPC body from the peer. Returns false if it is neither request nor response. */
+    /** Handles a JSON-RPC body from the peer. Returns false if it is neither a request nor a response. */
     receive(body: unknown): boolean {
         if (isJSONRPCResponse(body)) {
             this.client.receive(body);
@@ -86,7 +86,7 @@
         if (!isJSONRPCRequest(body)) {
             return false;
         }
-        // The library looks names up in a plain object, where "constructor" would be found.
+        // The library looks up method names in a plain object, where "constructor" would be found.
         if (!this.names.has(body.method)) {
             this.refuse(body);
             return true;
@@ -99,11 +99,11 @@
         return true;
     }
 
-    /** Ends every call that still waits: its outcome is unknown. */
+    /** Ends every pending call with `connectionLost`, since its outcome is unknown. */
     close(): void {
         this.closed = true;
         for (const id of [...this.timers.keys()]) {
-            this.fail(id, transportCodes.connectionLost.number, "the link closed before the answer came");
+            this.fail(id, transportCodes.connectionLost.number, "the link closed before an answer arrived");
         }
     }
 
--- a/packages/transport/src/lib/tcp/LinkServer.ts
+++ b/packages/transport/src/lib/tcp/LinkServer.ts
@@ -19,14 +19,14 @@
     readonly host?: string;
     /** The port; 0 lets the operating system choose. Default 0. */
     readonly port?: number;
-    /** What this process says about itself. */
+    /** The hello that this process sends to every peer. */
     readonly hello: Hello;
     readonly credentials: LinkCredentials;
     /** JSON-RPC methods offered to every peer. */
     readonly methods?: Readonly<Record<string, RpcMethod>>;
     readonly clock?: Clock;
     readonly limits?: LinkLimits;
-    /** Links that may be open at once; further ones are closed on arrival. Default 20000. */
+    /** The most links open at the same time; further connections are closed immediately. Default 20000. */
     readonly maxLinks?: number;
     /** Runs for every new link, before its first message. */
     readonly onLink?: (link: Link) => void;
@@ -67,12 +67,15 @@
      * Starts to listen.
      *
      * @returns The address, with the port that was chosen; `notConnected` if it cannot be used, `peerRefused` for
-     * plaintext beyond loopback.
+     * plaintext on an address other than loopback.
      */
     listen(): Promise<Outcome<Address>> {
         const host = this.options.host ?? "127.0.0.1";
         if (!mayUse(this.options.credentials, host)) {
-            const reason = failure(transportCodes.peerRefused, `plaintext links are for loopback only, not ${host}`);
+            const reason = failure(
+                transportCodes.peerRefused,
+                `plaintext links are allowed on loopback only, not on ${host}`,
+            );
             return Promise.resolve(Result.err(reason));
         }
         return new Promise(resolve => {
@@ -83,12 +86,12 @@
         });
     }
 
-    /** The links that are open now. */
+    /** The links that are currently open. */
     get openLinks(): readonly Link[] {
         return [...this.links];
     }
 
-    /** Tells every peer that its link will close soon, so that it opens no new work on it. */
+    /** Notifies every peer that its link will close soon, so that the peer starts no new work on it. */
     announceClosing(): void {
         this.links.forEach(link => link.announceClosing());
     }
@@ -103,7 +106,7 @@
         });
     }
 
-    /** Cuts every link at once, as when the process dies. What was queued is lost. */
+    /** Destroys every connection immediately, as a crash of the process would. Queued data is lost. */
     terminate(): void {
         this.server.close();
         this.destroySockets();
--- a/packages/transport/src/lib/tcp/StreamWire.test.ts
+++ b/packages/transport/src/lib/tcp/StreamWire.test.ts
@@ -33,7 +33,7 @@
 
 const nextTurn = () => new Promise(resolve => setImmediate(resolve));
 
-test("messages of one turn leave in one write, in order", async () => {
+test("messages of one turn are sent in one write, in order", async () => {
     const { wire, writes } = recordingWire(10_000);
     const messages = cancelMessages(20);
     messages.slice(0, 10).forEach(message => wire.send(message));
@@ -44,7 +44,7 @@
     assert.deepEqual(writes, [buildFrame(messages.map(encodeMessage))]);
 });
 
-test("a turn larger than a frame leaves in several frames", async () => {
+test("messages of one turn that exceed a frame are sent in several frames", async () => {
     const { wire, writes } = recordingWire(100);
     cancelMessages(10).forEach(message => wire.send(message));
     await nextTurn();
--- a/packages/transport/src/lib/tcp/StreamWire.ts
+++ b/packages/transport/src/lib/tcp/StreamWire.ts
@@ -10,23 +10,24 @@
     readonly stream: Duplex;
     /** The largest frame in either direction, in bytes. */
     readonly maxFrame: number;
-    /** The largest frame that is accepted before {@link StreamWire.trust}, in bytes. */
+    /** The largest frame that is accepted before {@link StreamWire.allowLargeFrames}, in bytes. */
     readonly maxFirstFrame: number;
-    /** Bytes that may wait for the network before the peer counts as too slow. */
+    /** The most bytes that may be queued; beyond it the wire fails with `peerTooSlow`. */
     readonly maxQueued: number;
-    /** Takes each message; a failure returned closes the wire. */
+    /** Handles each message; a returned failure closes the wire. */
     readonly onMessage: (message: Message) => Failure | undefined;
     /** Runs once, when the stream has ended for any reason. */
     readonly onEnd: (reason: Failure | undefined) => void;
 }
 
 /**
- * Messages over a byte stream. What is sent in one turn of the event loop leaves in one write.
+ * Sends and receives messages over a byte stream. Messages sent in one turn of the event loop share one write if they
+ * fit into one frame.
  *
  * @internal
  */
 export class StreamWire implements Wire {
-    /** Counts frames received, to see whether the peer is alive. */
+    /** The number of frames received, to detect whether the peer is alive. */
     framesReceived = 0;
     private readonly parser: FrameParser;
     private pending: Buffer[] = [];
@@ -47,8 +48,8 @@
         return this.pendingBytes + this.options.stream.writableLength;
     }
 
-    /** The peer has said who it is: from now on it may send large frames. */
-    trust(): void {
+    /** Accepts frames up to `maxFrame` from now on, once the peer has sent its hello. */
+    allowLargeFrames(): void {
         this.parser.maxFrame = this.options.maxFrame;
     }
 
@@ -58,7 +59,9 @@
         }
         const encoded = encodeMessage(message);
         if (encoded.length + frameOverhead > this.options.maxFrame) {
-            this.fail(failure(transportCodes.protocolViolation, `message of ${encoded.length} bytes is too large`));
+            this.fail(
+                failure(transportCodes.protocolViolation, `message of ${encoded.length} bytes exceeds the frame limit`),
+            );
             return;
         }
         if (this.pendingBytes + encoded.length + frameOverhead > this.options.maxFrame) {
@@ -70,7 +73,12 @@
         this.pending.push(encoded);
         this.pendingBytes += encoded.length;
         if (this.queuedBytes > this.options.maxQueued) {
-            this.fail(failure(transportCodes.peerTooSlow, `${this.queuedBytes} bytes are queued`));
+            this.fail(
+                failure(
+                    transportCodes.peerTooSlow,
+                    `${this.queuedBytes} bytes queued, limit ${this.options.maxQueued}`,
+                ),
+            );
         }
     }
 
@@ -83,13 +91,13 @@
         this.options.stream.end();
     }
 
-    /** Closes at once because of a failure. */
+    /** Closes immediately with a failure. */
     fail(reason: Failure): void {
         this.end(reason);
         this.options.stream.destroy();
     }
 
-    /** Writes what was sent in this turn so far. */
+    /** Writes the messages sent in this turn so far. */
     flush(): void {
         if (this.pending.length === 0 || this.ended) {
             return;
--- a/packages/transport/src/lib/tcp/TcpLink.ts
+++ b/packages/transport/src/lib/tcp/TcpLink.ts
@@ -6,7 +6,7 @@
 import { type Message } from "../messages/Message.js";
 import { StreamWire } from "./StreamWire.js";
 
-/** Before the hello a peer may send no more than this in one frame, in bytes. */
+/** The largest frame that is accepted before the peer's hello, in bytes. */
 const maxFirstFrame = 4096;
 
 /**
@@ -17,13 +17,13 @@
 export interface LinkLimits {
     /** The largest frame in either direction, in bytes. Default 32 MiB. */
     readonly maxFrame?: number;
-    /** Bytes that may wait for the network before the link is closed as too slow. Default 64 MiB. */
+    /** The most bytes that may be queued before the link is closed because the peer is too slow. Default 64 MiB. */
     readonly maxQueued?: number;
     /** Milliseconds to connect and to receive the peer's hello. Default 2000. */
     readonly connectTimeout?: number;
-    /** A link on which nothing came for so many milliseconds is pinged. Default 2000. */
+    /** Milliseconds without a received frame after which the peer is pinged. Default 2000. */
     readonly heartbeat?: number;
-    /** A link on which nothing came for so many milliseconds is closed as lost. Default 6000. */
+    /** Milliseconds without a received frame after which the link is closed as lost. Default 6000. */
     readonly silence?: number;
 }
 
@@ -43,14 +43,14 @@
     readonly clock: Clock;
     readonly methods: Readonly<Record<string, RpcMethod>>;
     readonly limits: Required<LinkLimits>;
-    /** Runs once the peer's hello has come, before its first message is handled. */
+    /** Runs once the peer's hello has arrived, before its first message is handled. */
     readonly onOpen: (link: BaseLink) => void;
-    /** Runs instead, when there was no proper hello in time. */
+    /** Runs instead of `onOpen` when no valid hello arrived in time. */
     readonly onRefused: (reason: Failure) => void;
 }
 
 /**
- * Makes a link of a connected stream: sends our hello, waits for the peer's, then watches that the peer stays alive.
+ * Opens a link over a connected stream: sends the hello, waits for the peer's hello, then monitors the peer's liveness.
  *
  * @internal
  */
@@ -62,23 +62,23 @@
         maxFrame: limits.maxFrame,
         maxFirstFrame,
         maxQueued: limits.maxQueued,
-        onMessage: message => link === undefined ? greet(message) : link.receive(message),
+        onMessage: message => link === undefined ? receiveHello(message) : link.receive(message),
         onEnd: ended,
     });
-    const helloTimer = clock.schedule(() => wire.fail(noHello()), limits.connectTimeout);
+    const helloTimer = clock.schedule(() => wire.fail(helloTimeout()), limits.connectTimeout);
     wire.send(hello);
-    // The hello leaves in a frame of its own: until it has come, the peer takes small frames only.
+    // The hello is sent in a frame of its own, since the peer accepts only small frames until it has received it.
     wire.flush();
 
-    function greet(message: Message): Failure | undefined {
+    function receiveHello(message: Message): Failure | undefined {
         const refusal = checkHello(message);
         if (refusal !== undefined || message.type !== "hello") {
             return refusal;
         }
         helloTimer.cancel();
-        wire.trust();
+        wire.allowLargeFrames();
         link = new BaseLink({ peer: message, clock, methods: options.methods, wire });
-        watch(link, wire, clock, limits);
+        monitorPeer(link, wire, clock, limits);
         options.onOpen(link);
         return undefined;
     }
@@ -86,14 +86,16 @@
     function ended(reason: Failure | undefined): void {
         helloTimer.cancel();
         if (link === undefined) {
-            options.onRefused(reason ?? failure(transportCodes.notConnected, "the peer closed before its hello"));
+            options.onRefused(
+                reason ?? failure(transportCodes.notConnected, "the peer closed the connection before its hello"),
+            );
             return;
         }
         link.ended(reason);
     }
 }
 
-function noHello(): Failure {
+function helloTimeout(): Failure {
     return failure(transportCodes.notConnected, "no hello in time");
 }
 
@@ -108,18 +110,18 @@
     return undefined;
 }
 
-/** Pings a silent peer, and closes the link when it stays silent: a cut cable shows in no other way. */
-function watch(link: BaseLink, wire: StreamWire, clock: Clock, limits: Required<LinkLimits>): void {
+/** Pings a silent peer and closes the link if it stays silent; a broken network path is not detected otherwise. */
+function monitorPeer(link: BaseLink, wire: StreamWire, clock: Clock, limits: Required<LinkLimits>): void {
     let seen = wire.framesReceived;
-    let lastSeen = clock.now();
+    let lastFrameAt = clock.now();
     let timer: Timer;
     function check(): void {
         if (wire.framesReceived !== seen) {
             seen = wire.framesReceived;
-            lastSeen = clock.now();
+            lastFrameAt = clock.now();
         }
-        else if (clock.now() - lastSeen >= limits.silence) {
-            wire.fail(failure(transportCodes.connectionLost, `nothing came for ${limits.silence} ms`));
+        else if (clock.now() - lastFrameAt >= limits.silence) {
+            wire.fail(failure(transportCodes.connectionLost, `no frame received for ${limits.silence} ms`));
             return;
         }
         else {
--- a/packages/transport/src/lib/tcp/TcpLinkPool.ts
+++ b/packages/transport/src/lib/tcp/TcpLinkPool.ts
@@ -25,7 +25,7 @@
  * @public
  */
 export interface TcpLinkPoolOptions {
-    /** What this process says about itself. */
+    /** The hello that this process sends to every peer. */
     readonly hello: Hello;
     readonly credentials: LinkCredentials;
     /** JSON-RPC methods offered to every peer. */
@@ -34,22 +34,22 @@
     /** The source of jitter. */
     readonly random?: Random;
     readonly limits?: LinkLimits;
-    /** Milliseconds for which an address is not tried again after its first failure; doubles with each. Default 50. */
-    readonly minHoldoff?: number;
-    /** The longest holdoff, in milliseconds. Default 2000. */
-    readonly maxHoldoff?: number;
+    /** Milliseconds of back-off after the first failed attempt; doubles with each further failure. Default 50. */
+    readonly minBackoff?: number;
+    /** The longest back-off, in milliseconds. Default 2000. */
+    readonly maxBackoff?: number;
 }
 
-/** What the pool knows of one address. */
+/** The connection state of one address. */
 interface Slot {
     link?: BaseLink;
     attempt?: Promise<Outcome<Link>>;
     failures: number;
-    /** No attempt before this time. */
+    /** The time before which no attempt is made. */
     notBefore: number;
 }
 
-/** Failed addresses that are remembered; old ones go first. */
+/** The most addresses whose state is kept; beyond it the oldest without a link or attempt are evicted. */
 const maxSlots = 20_000;
 
 /**
@@ -105,7 +105,7 @@
         this.slots.forEach(slot => slot.link?.close());
     }
 
-    /** Cuts every link at once, as when the process dies. What was queued is lost. */
+    /** Destroys every connection immediately, as a crash of the process would. Queued data is lost. */
     terminate(): void {
         this.closed = true;
         this.sockets.forEach(socket => socket.destroy());
@@ -116,11 +116,16 @@
             return failure(transportCodes.notConnected, "the pool is closed");
         }
         if (!mayUse(this.options.credentials, address.host)) {
-            return failure(transportCodes.notConnected, `plaintext links are for loopback only, not ${address.host}`);
+            return failure(
+                transportCodes.notConnected,
+                `plaintext links are allowed on loopback only, not on ${address.host}`,
+            );
         }
         const wait = (this.slots.get(keyOf(address))?.notBefore ?? 0) - this.clock.now();
         if (wait > 0) {
-            return failure(transportCodes.notConnected, "held off after a failure", { retryAfter: wait });
+            return failure(transportCodes.notConnected, "backing off after a failed connection attempt", {
+                retryAfter: wait,
+            });
         }
         return undefined;
     }
@@ -133,11 +138,11 @@
         }
         const slot: Slot = { failures: 0, notBefore: 0 };
         this.slots.set(key, slot);
-        this.forgetOld();
+        this.evictOldSlots();
         return slot;
     }
 
-    private forgetOld(): void {
+    private evictOldSlots(): void {
         for (const [key, slot] of this.slots) {
             if (this.slots.size <= maxSlots) {
                 return;
@@ -153,16 +158,16 @@
         slot.attempt = undefined;
         if (opened.isErr) {
             slot.failures++;
-            slot.notBefore = this.clock.now() + this.holdoff(slot.failures);
+            slot.notBefore = this.clock.now() + this.backoff(slot.failures);
             return Result.err(opened.error);
         }
         slot.failures = 0;
         return opened;
     }
 
-    private holdoff(failures: number): number {
-        const { minHoldoff = 50, maxHoldoff = 2000 } = this.options;
-        const full = Math.min(maxHoldoff, minHoldoff * 2 ** Math.min(failures - 1, 20));
+    private backoff(failures: number): number {
+        const { minBackoff = 50, maxBackoff = 2000 } = this.options;
+        const full = Math.min(maxBackoff, minBackoff * 2 ** Math.min(failures - 1, 20));
         return full / 2 + this.random.next() * full / 2;
     }
 
@@ -181,7 +186,7 @@
                 });
             });
             const timer = this.clock.schedule(
-                () => socket.destroy(new Error("no connection in time")),
+                () => socket.destroy(new Error("connection timed out")),
                 this.limits.connectTimeout,
             );
             socket.on("error", error => {
@@ -191,7 +196,9 @@
             socket.on("close", () => {
                 this.sockets.delete(socket);
                 timer.cancel();
-                resolve(Result.err(failure(transportCodes.notConnected, "closed before it was open")));
+                resolve(
+                    Result.err(failure(transportCodes.notConnected, "the connection closed before the link was open")),
+                );
             });
         });
     }
--- a/packages/transport/src/lib/tcp/credentials.ts
+++ b/packages/transport/src/lib/tcp/credentials.ts
@@ -3,14 +3,14 @@
 import { type ConnectionOptions, type TlsOptions } from "node:tls";
 import { z } from "zod";
 
-/** Characters that a shared secret must have at least; 32 hexadecimal digits are 128 bits. */
+/** The minimum length of a shared secret, in characters; 32 hexadecimal digits are 128 bits. */
 const minSecret = 32;
 
 /**
  * How links are authenticated. Every process of a site shares the same keys.
  *
- * - `keys`: TLS with a pre-shared key. The first key opens links; each of them is accepted. To rotate: add the new key
- *   behind the old one on every host, then put it first on every host, then remove the old one.
+ * - `keys`: TLS with a pre-shared key. The first key opens links; all keys are accepted. To rotate: add the new key
+ *   after the old one on every host, then put it first on every host, then remove the old one.
  * - `insecure`: plaintext, on loopback addresses only.
  *
  * @public
@@ -33,8 +33,8 @@
 export type LinkCredentials = z.infer<typeof linkCredentialsSchema>;
 
 /**
- * Suites that need the pre-shared key and also agree on a fresh key for each connection, so that a key that leaks later
- * does not open recorded traffic.
+ * Cipher suites with a pre-shared key and forward secrecy: they agree on a new key for each connection, so that a
+ * pre-shared key that leaks later does not decrypt recorded traffic.
  */
 const ciphers = "ECDHE-PSK-CHACHA20-POLY1305:ECDHE-PSK-AES256-CBC-SHA384:ECDHE-PSK-AES128-CBC-SHA256";
 
@@ -64,19 +64,19 @@
     }
     const [key] = credentials.keys;
     if (key === undefined) {
-        throw new Error("credentials without a key");
+        throw new Error("expected at least one key in the credentials, got none");
     }
     const psk = deriveKey(key.secret);
     return {
         ...protocol,
         pskCallback: () => ({ psk, identity: key.id }),
-        // The server proves that it holds the key; there is no certificate to check.
+        // The server authenticates with the pre-shared key; there is no certificate to check.
         checkServerIdentity: () => undefined,
     };
 }
 
 /**
- * Tells whether these credentials may be used on an address.
+ * Returns whether these credentials may be used on an address.
  *
  * @internal
  */
--- a/packages/transport/src/lib/tcp/links.test.ts
+++ b/packages/transport/src/lib/tcp/links.test.ts
@@ -21,7 +21,7 @@
     return { type: "hello", protocol, process, role: "agent", incarnation: `${process}-1`, dataCentre: "a" };
 }
 
-/** A server that gathers its links, closed when the test ends. */
+/** Starts a server that collects its links; it is closed when the test ends. */
 async function listen(t: TestContext, options: Partial<LinkServerOptions> = {}) {
     const links: Link[] = [];
     const waiting: ((link: Link) => void)[] = [];
@@ -62,7 +62,7 @@
     return new Promise(resolve => link.onMessage(resolve));
 }
 
-test("both ends learn who the other is and talk in both directions", async t => {
+test("both ends receive the peer's hello, and messages pass in both directions", async t => {
     const { address, nextLink } = await listen(t, { credentials: { keys: [oldKey] } });
     const accepted = nextLink();
     const link = await open(poolFor(t, { credentials: { keys: [oldKey] } }), address);
@@ -77,7 +77,7 @@
     assert.deepEqual(await answered, { type: "credit", request: "r1", epoch: 2, upTo: 9 });
 });
 
-test("much can be sent at the moment a link opens, in both directions", async t => {
+test("large messages can be sent as soon as a link opens, in both directions", async t => {
     const data = new Uint8Array(20_000);
     const piece: Message = { type: "replyBody", request: "r", data, last: false };
     for (const credentials of [insecure, { keys: [oldKey] }]) {
@@ -188,7 +188,7 @@
     relay.close();
 });
 
-test("plaintext is refused beyond loopback", async t => {
+test("plaintext is refused on addresses other than loopback", async t => {
     const server = new LinkServer({ hello: hello("server"), credentials: insecure, host: "0.0.0.0" });
     const listening = await server.listen();
     assert.equal(listening.isErr && listening.error.code, transportCodes.peerRefused);
@@ -196,7 +196,7 @@
     assert.equal(refused.isErr && refused.error.code, transportCodes.notConnected);
 });
 
-/** Connects without a link, as a hostile peer does. */
+/** Opens a TCP connection without the link protocol, as a hostile peer does. */
 async function rawSocket(t: TestContext, address: Address): Promise<Socket> {
     const socket = connectTcp(address);
     socket.on("error", () => undefined);
@@ -288,11 +288,11 @@
     assert.equal(await reason, "connection-lost");
 });
 
-test("an address that failed is held off, then tried again", async t => {
+test("after a failure an address is backed off, then tried again", async t => {
     const clock = new ManualClock();
     const { server, address } = await listen(t);
     await server.close();
-    const pool = poolFor(t, { clock, random: seededRandom(1), minHoldoff: 100 });
+    const pool = poolFor(t, { clock, random: seededRandom(1), minBackoff: 100 });
     const first = await pool.connect(address);
     assert.ok(first.isErr && first.error.retryAfter === undefined);
     const second = await pool.connect(address);
@@ -303,7 +303,7 @@
     assert.equal((await open(pool, again.address)).peer.process, "server");
 });
 
-test("an announced close is no failure and the address is tried anew at once", async t => {
+test("an announced close is not a failure, and the address can be connected again immediately", async t => {
     const { server, address } = await listen(t);
     const pool = poolFor(t);
     const link = await open(pool, address);
