--- a/packages/claims/src/lib/journal/reclaim.test.ts
+++ b/packages/claims/src/lib/journal/reclaim.test.ts
@@ -1,4 +1,4 @@
-import { AnsweredEra } from "@waxwingspar/stores";
+import { CachedEraStore } from "@waxwingspar/stores";
 import { type Random, seededRandom } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import test from "node:test";
@@ -188,7 +188,7 @@
 test("segments are not deleted based on a base row of an earlier era", async () => {
     const site = new JournalSite();
     const options = { partition: 0, objects: site.objects, clock: site.clock, pageSize: 10 };
-    const idle = new PartitionLog({ ...options, table: new AnsweredEra(site.table) });
+    const idle = new PartitionLog({ ...options, table: new CachedEraStore(site.table) });
     await idle.refresh();
     const restore = site.table.saveCopy();
     await idle.append("lost", []);
--- a/packages/claims/src/lib/journal/testing/JournalSite.ts
+++ b/packages/claims/src/lib/journal/testing/JournalSite.ts
@@ -1,4 +1,4 @@
-import { AnsweredEra, MemoryObjectStore, MemoryTableStore, TokenBucket } from "@waxwingspar/stores";
+import { CachedEraStore, MemoryObjectStore, MemoryTableStore, TokenBucket } from "@waxwingspar/stores";
 import { ManualClock, type Outcome, seededRandom } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { type Claim, type ClaimRequest } from "../../Claims.js";
@@ -19,7 +19,7 @@
     /** Starts an owner with a rate in writes per second. */
     owner(options: Partial<ClaimJournalOptions> = {}, rate = 1000): ClaimJournal {
         const { clock, objects } = this;
-        const table = new AnsweredEra(this.table);
+        const table = new CachedEraStore(this.table);
         const bucket = new TokenBucket({ clock, rate });
         const pace = () => bucket.take(Infinity) ?? 0;
         const collectReports = this.runners.collector(before => this.reports(before));
--- a/packages/claims/src/lib/testing/ClaimSite.ts
+++ b/packages/claims/src/lib/testing/ClaimSite.ts
@@ -1,4 +1,4 @@
-import { AnsweredEra, MemoryTableStore } from "@waxwingspar/stores";
+import { CachedEraStore, MemoryTableStore } from "@waxwingspar/stores";
 import { ManualClock } from "@waxwingspar/utils";
 import { type ReportedClaim } from "../recovery/ClaimReport.js";
 import { TableClaims } from "../TableClaims.js";
@@ -17,7 +17,7 @@
     /** Starts a process. */
     process(): TableClaims {
         const collectReports = this.runners.collector(before => this.reports(before));
-        const process = new TableClaims(new AnsweredEra(this.store), this.clock, { collectReports });
+        const process = new TableClaims(new CachedEraStore(this.store), this.clock, { collectReports });
         this.processes.add(process);
         return process;
     }
--- a/packages/config/src/lib/store/storeCopy.test.ts
+++ b/packages/config/src/lib/store/storeCopy.test.ts
@@ -1,4 +1,4 @@
-import { AnsweredEra, MemoryTableStore } from "@waxwingspar/stores";
+import { CachedEraStore, MemoryTableStore } from "@waxwingspar/stores";
 import { ManualClock, type Outcome, seededRandom, uniqueId } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -15,7 +15,7 @@
     readonly store: ResourceStore;
 
     constructor({ table, clock, processes }: Site) {
-        this.log = new StoreLog(new AnsweredEra(table));
+        this.log = new StoreLog(new CachedEraStore(table));
         const findNewest = (): Promise<Outcome<number>> =>
             Promise.resolve(Result.ok(Math.max(...processes.map(({ state }) => state.revision))));
         const { log, state } = this;
--- a/packages/control/src/lib/leases/storeCopy.test.ts
+++ b/packages/control/src/lib/leases/storeCopy.test.ts
@@ -1,4 +1,4 @@
-import { AnsweredEra, MemoryTableStore } from "@waxwingspar/stores";
+import { CachedEraStore, MemoryTableStore } from "@waxwingspar/stores";
 import { ManualClock, type Outcome, seededRandom } from "@waxwingspar/utils";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -15,7 +15,7 @@
 
     lease(holder: string): Lease {
         const { clock } = this;
-        const store = new AnsweredEra(this.store);
+        const store = new CachedEraStore(this.store);
         return new Lease({ store, clock, duty: "orders/a", holder, incarnation: `${holder}-1`, duration });
     }
 
--- a/packages/stores/src/index.ts
+++ b/packages/stores/src/index.ts
@@ -15,7 +15,7 @@
 export { PlatformConnection, type PlatformConnectionOptions } from "./lib/http/PlatformConnection.js";
 export { PlatformServer, type PlatformServerOptions } from "./lib/http/PlatformServer.js";
 export { type LiveHost, liveHostSchema, type LiveList } from "./lib/LiveList.js";
-export { AnsweredEra } from "./lib/memory/AnsweredEra.js";
+export { CachedEraStore } from "./lib/memory/CachedEraStore.js";
 export { type CallKind, FaultInjector, type FaultSettings, faultSettingsSchema } from "./lib/memory/FaultInjector.js";
 export { MemoryLiveList } from "./lib/memory/MemoryLiveList.js";
 export { MemoryObjectStore } from "./lib/memory/MemoryObjectStore.js";
--- a/packages/stores/src/lib/client/ReadSharing.ts
+++ b/packages/stores/src/lib/client/ReadCoalescer.ts
@@ -4,7 +4,7 @@
  *
  * @internal
  */
-export class ReadSharing {
+export class ReadCoalescer {
     private readonly reads = new Map<string, Promise<unknown>>();
 
     /**
--- a/packages/stores/src/lib/client/StoreClient.ts
+++ b/packages/stores/src/lib/client/StoreClient.ts
@@ -7,7 +7,7 @@
 import { canRepeat } from "./canRepeat.js";
 import { CommitOnce } from "./CommitOnce.js";
 import { type BackoffBounds } from "./fullJitter.js";
-import { ReadSharing } from "./ReadSharing.js";
+import { ReadCoalescer } from "./ReadCoalescer.js";
 import { withTimeout } from "./withTimeout.js";
 
 /**
@@ -67,7 +67,7 @@
     private readonly breaker: Breaker;
     private readonly buckets: Record<CallKind, TokenBucket>;
     private readonly committer: CommitOnce;
-    private readonly readCoalescer = new ReadSharing();
+    private readonly readCoalescer = new ReadCoalescer();
 
     constructor(options: StoreClientOptions) {
         this.options = { ...defaults, ...options };
--- a/packages/stores/src/lib/memory/AnsweredEra.ts
+++ b/packages/stores/src/lib/memory/CachedEraStore.ts
@@ -7,7 +7,7 @@
  *
  * @public
  */
-export class AnsweredEra implements TableStore {
+export class CachedEraStore implements TableStore {
     private answered: number;
 
     constructor(private readonly table: TableStore) {
