--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The waxwingspar command: daemons, local site, demo, bench, checks.
+ * The waxwingspar command: daemons, local site, demo, benchmark and checks.
  *
  * @packageDocumentation
  */
--- a/packages/cli/src/lib/commands/CommandOutput.ts
+++ b/packages/cli/src/lib/commands/CommandOutput.ts
@@ -1,5 +1,5 @@
 /**
- * Where a command writes for people.
+ * Standard output and standard error of a command.
  *
  * @internal
  */
--- a/packages/cli/src/lib/commands/benchCommand.test.ts
+++ b/packages/cli/src/lib/commands/benchCommand.test.ts
@@ -32,7 +32,7 @@
     return { code, text };
 }
 
-async function folderOf(context: TestContext): Promise<string> {
+async function createFolder(context: TestContext): Promise<string> {
     const folder = await mkdtemp(join(tmpdir(), "waxwingspar-bench-"));
     context.after(() => rm(folder, { recursive: true }));
     return folder;
@@ -40,7 +40,7 @@
 
 const load = ["--rate", "50", "--duration", "0.4", "--max-tokens", "5", "--service-share", "0.3", "--seed", "3"];
 
-/** A site that refuses every third model request. */
+/** Starts an HTTP server that refuses every third model request, and counts the requests it gets. */
 async function startFakeSite(context: TestContext): Promise<{ origin: string; counts: Record<string, number>; }> {
     const counts = { model: 0, service: 0, refused: 0 };
     const token = `data: ${JSON.stringify({ choices: [{ text: "a", finish_reason: "length" }] })}\n\n`;
@@ -63,9 +63,9 @@
     return { origin: `http://127.0.0.1:${(server.address() as AddressInfo).port}`, counts };
 }
 
-test("bench reports every planned call, in three forms", async context => {
+test("bench reports every planned call as JSON, Markdown and SVG", async context => {
     const { origin, counts } = await startFakeSite(context);
-    const folder = await folderOf(context);
+    const folder = await createFolder(context);
     const files = {
         json: join(folder, "figures.json"),
         markdown: join(folder, "report.md"),
@@ -75,7 +75,7 @@
     const { code, text } = await runBench("--callers", origin, ...load, ...options);
     assert.equal(code, 0, text);
     const { model = 0, service = 0, refused = 0 } = counts;
-    assert.ok(refused > 0 && service > 0, "the plan holds every kind of call");
+    assert.ok(refused > 0 && service > 0, "the plan contains every kind of call");
     const { calls, outcomes } = figuresSchema.parse(JSON.parse(await readFile(files.json, "utf8")));
     assert.equal(calls, model + service);
     const { number, name } = requestCodes.overloaded;
@@ -84,7 +84,7 @@
     assert.match(await readFile(files.svg, "utf8"), /^<svg /);
 });
 
-test("bench understands every answer of a local site, also its refusals", async context => {
+test("bench classifies every response of a local site, including refusals", async context => {
     const anyPort = { host: "127.0.0.1", port: 0 };
     const site = new LocalSite({
         callers: anyPort,
@@ -95,22 +95,22 @@
     });
     context.after(() => site.stop());
     const { callers: { host, port } } = (await site.start()).unwrapOrElse(({ message }) => assert.fail(message));
-    const file = join(await folderOf(context), "figures.json");
+    const file = join(await createFolder(context), "figures.json");
     await runBench("--callers", `http://${host}:${port}`, ...load, "--json", file);
     const { calls, outcomes } = figuresSchema.parse(JSON.parse(await readFile(file, "utf8")));
-    // A slow machine makes the site refuse; what counts is that each end is whole or has a number.
+    // The site may refuse calls on a slow machine; each call must complete or fail with a result code.
     assert.deepEqual(Object.keys(outcomes).filter(name => !/^(completed|\d{4} [a-z-]+)$/.test(name)), []);
     assert.equal(Object.values(outcomes).reduce((sum, count) => sum + count, 0), calls);
     assert.ok((outcomes["completed"] ?? 0) > 0);
 });
 
-test("bench fails when nobody answers, and tells so", async () => {
+test("bench fails and reports the calls as not connected when no server listens", async () => {
     const { code, text } = await runBench("--callers", "http://127.0.0.1:1", "--rate", "100", "--duration", "0.1");
     assert.equal(code, 1);
     assert.match(text, /\| not connected \| \d+ \|/);
 });
 
-test("bench refuses wrong options and files before it sends anything", async context => {
+test("bench rejects invalid options and files before it sends a call", async context => {
     const wrong = [["--rate", "0"], ["--service-share", "1.5"], ["--callers", "127.0.0.1:8080"], ["--seed", "x"]];
     for (const options of wrong) {
         const { code, text } = await runBench(...options);
@@ -118,7 +118,7 @@
         assert.match(text, /expected a/);
     }
     assert.equal((await runBench("--rate", "100000", "--duration", "80000")).code, 2);
-    const file = join(await folderOf(context), "organisations.json");
+    const file = join(await createFolder(context), "organisations.json");
     await writeFile(file, "[]");
     assert.equal((await runBench("--organisations", file)).code, 2);
 });
--- a/packages/cli/src/lib/commands/benchCommand.ts
+++ b/packages/cli/src/lib/commands/benchCommand.ts
@@ -21,7 +21,7 @@
 
 /** Options of `waxwingspar bench`. @internal */
 export interface BenchOptions {
-    /** The URL where the site takes callers. */
+    /** The origin at which the site accepts callers. */
     readonly callers: string;
     readonly rate: number;
     readonly duration: number;
@@ -30,7 +30,7 @@
     readonly promptTokens: number;
     readonly maxTokens: number;
     readonly sharedPrefix: number;
-    /** A JSON file with names and tokens of organisations. */
+    /** A JSON file with the names and tokens of organisations. */
     readonly organisations?: string;
     readonly serviceShare: number;
     readonly service: string;
@@ -44,33 +44,40 @@
 }
 
 const callersSchema = z.array(z.strictObject({ name: z.string(), token: z.string().min(1) })).min(1);
+/** The share of tokens, and of requests, that must be within the bounds. */
 const boundShare = 0.95;
+/** Seconds. */
 const maxDuration = 86_400;
+/** Calls per second. */
 const maxRate = 100_000;
 
 /**
- * Adds `waxwingspar bench`, which makes load on a running site.
+ * Registers `waxwingspar bench`, which generates load on a running site.
  *
  * @internal
  */
 export function registerBenchCommand(program: Command, output: CommandOutput, exit: (code: number) => void): void {
     program.command("bench")
-        .description("make load on a running site at a fixed rate, and report what its callers saw")
-        .option("--callers <url>", "where the site takes callers", parseOrigin, "http://127.0.0.1:8080")
-        .addOption(numberOption("--rate <calls>", "calls a second on average", 10, [0.001, maxRate]))
-        .addOption(numberOption("--duration <seconds>", "how long calls arrive", 30, [0.001, maxDuration]))
+        .description("generate load on a running site at a fixed rate, and report what callers saw")
+        .option("--callers <url>", "where the site accepts callers", parseOrigin, "http://127.0.0.1:8080")
+        .addOption(createNumberOption("--rate <calls>", "average calls per second", 10, [0.001, maxRate]))
+        .addOption(
+            createNumberOption("--duration <seconds>", "how long new calls are started", 30, [0.001, maxDuration]),
+        )
         .option("--seed <number>", "the same seed makes the same calls at the same times", parseCount, 1)
         .option("--model <name>", "the model to ask", "demo")
         .option("--prompt-tokens <words>", "words of each prompt", parseCount, 50)
-        .option("--max-tokens <tokens>", "tokens of each answer at most", parseCount, 50)
-        .addOption(numberOption("--shared-prefix <share>", "share of each prompt that all begin with", 0, [0, 1]))
-        .option("--organisations <file>", "JSON: a list of names and tokens, among which calls are spread")
-        .addOption(numberOption("--service-share <share>", "share of calls to the plain service", 0, [0, 1]))
+        .option("--max-tokens <tokens>", "maximum tokens of each answer", parseCount, 50)
+        .addOption(
+            createNumberOption("--shared-prefix <share>", "share of each prompt that all have in common", 0, [0, 1]),
+        )
+        .option("--organisations <file>", "JSON list of names and tokens over which calls are spread")
+        .addOption(createNumberOption("--service-share <share>", "share of calls to the plain service", 0, [0, 1]))
         .option("--service <path>", "name and path of the plain service", "records/work-orders")
         .option("--first-token-bound <ms>", "bound on the first token", parseCount, 540)
-        .option("--token-bound <ms>", "bound between tokens, for 95 of 100", parseCount, 72)
-        .option("--timeout <ms>", "time for one call", parseCount, 60_000)
-        .option("--max-open <calls>", "calls open at once; further ones are not sent", parseCount, 10_000)
+        .option("--token-bound <ms>", "bound between tokens, for 95 % of them", parseCount, 72)
+        .option("--timeout <ms>", "timeout of one call", parseCount, 60_000)
+        .option("--max-open <calls>", "maximum concurrent calls; calls beyond it are not sent", parseCount, 10_000)
         .option("--json <file>", "write the figures as JSON")
         .option("--markdown <file>", "write the report as Markdown")
         .option("--svg <file>", "write a plot of the latencies")
@@ -95,7 +102,7 @@
         return exitCodes.usage;
     }
     const summary = await measure(options, settings);
-    const report = formatMarkdown(`Load on ${options.callers}`, notesOf(options, callers), summary);
+    const report = formatMarkdown(`Load on ${options.callers}`, describeRun(options, callers), summary);
     output.write(report);
     await writeReports(options, report, summary);
     return (summary.outcomes["completed"] ?? 0) > 0 ? exitCodes.done : exitCodes.failed;
@@ -123,7 +130,7 @@
     }
 }
 
-function notesOf(options: BenchOptions, callers: readonly LoadCaller[]): string[] {
+function describeRun(options: BenchOptions, callers: readonly LoadCaller[]): string[] {
     const { rate, duration, seed, model, promptTokens, maxTokens, sharedPrefix, serviceShare } = options;
     const processors = cpus();
     return [
@@ -135,7 +142,7 @@
     ];
 }
 
-/** Tokens come from a file, since a command line can be read by other users of a machine. */
+/** Reads the tokens of callers from a file, since other users of a machine can read a command line. */
 async function readCallers(file: string | undefined): Promise<readonly LoadCaller[] | undefined> {
     if (file === undefined) {
         return [{ name: "anonymous" }];
@@ -149,7 +156,12 @@
     }
 }
 
-function numberOption(flags: string, description: string, fallback: number, range: readonly [number, number]): Option {
+function createNumberOption(
+    flags: string,
+    description: string,
+    fallback: number,
+    range: readonly [number, number],
+): Option {
     const [least, most] = range;
     return new Option(flags, description).default(fallback).argParser(text => {
         const value = Number(text);
--- a/packages/cli/src/lib/commands/checkCommands.ts
+++ b/packages/cli/src/lib/commands/checkCommands.ts
@@ -23,11 +23,11 @@
 
 /** Options of `waxwingspar check history`. @internal */
 export interface CheckHistoryOptions {
-    /** Processes whose lines may be missing, because they were killed. */
+    /** Processes that were killed, so that the last lines of their history may be missing. */
     readonly lost: readonly string[];
-    /** Milliseconds in which an accepted revision must be in force. */
+    /** Milliseconds within which an accepted revision must be in force. */
     readonly bound?: number;
-    /** Revisions up to this one were accepted before the history began. */
+    /** The last revision that was accepted before the history began. */
     readonly baseRevision?: number;
 }
 
--- a/packages/cli/src/lib/commands/checkGatewayCommand.test.ts
+++ b/packages/cli/src/lib/commands/checkGatewayCommand.test.ts
@@ -22,7 +22,7 @@
 
 const settings = testSettings("127.0.0.1:1");
 
-test("settings of the platform are accepted, with fields that nobody uses", async context => {
+test("settings of the platform are accepted, including unknown fields", async context => {
     const { code, output } = await check(context, JSON.stringify({ ...settings, Novel: [1] }));
     assert.equal(code, exitCodes.done);
     assert.match(output, /ok\n$/);
@@ -39,7 +39,7 @@
     assert.equal(code, exitCodes.usage);
 });
 
-test("what is no JSON is an error, not a crash", async context => {
+test("invalid JSON is reported as an error", async context => {
     const { code, error } = await check(context, "{");
     assert.equal(code, exitCodes.usage);
     assert.match(error, /check gateway: /);
--- a/packages/cli/src/lib/commands/daemonCommands.ts
+++ b/packages/cli/src/lib/commands/daemonCommands.ts
@@ -5,10 +5,10 @@
 import { loadSettings } from "../settings/loadSettings.js";
 import { type CommandOutput } from "./CommandOutput.js";
 import { exitCodes } from "./exitCodes.js";
-import { describeFailure, type Running, runUntilSignal } from "./runUntilSignal.js";
+import { describeFailure, runUntilSignal, type Stoppable } from "./runUntilSignal.js";
 
 /**
- * Runs an entry until a signal.
+ * Runs an entry until SIGTERM or SIGINT.
  *
  * @returns The exit code.
  * @internal
@@ -20,11 +20,11 @@
         return exitCodes.usage;
     }
     const base = await DaemonBase.create(settings.value);
-    return runDaemon("entry", base.map(made => new EntryDaemon(made, settings.value)), output);
+    return runDaemon("entry", base.map(daemonBase => new EntryDaemon(daemonBase, settings.value)), output);
 }
 
 /**
- * Runs an agent until a signal.
+ * Runs an agent until SIGTERM or SIGINT.
  *
  * @returns The exit code.
  * @internal
@@ -36,11 +36,11 @@
         return exitCodes.usage;
     }
     const base = await DaemonBase.create(settings.value);
-    return runDaemon("agent", base.map(made => new AgentDaemon(made, settings.value)), output);
+    return runDaemon("agent", base.map(daemonBase => new AgentDaemon(daemonBase, settings.value)), output);
 }
 
-/** A daemon that has been made but not started. */
-interface Daemon extends Running {
+/** A daemon that has been created but not started. */
+interface Daemon extends Stoppable {
     start(): Promise<Outcome<void>>;
 }
 
--- a/packages/cli/src/lib/commands/demoCommand.ts
+++ b/packages/cli/src/lib/commands/demoCommand.ts
@@ -12,7 +12,7 @@
 /**
  * Runs the demo.
  *
- * @returns The exit code: 0 only if every check holds.
+ * @returns The exit code: 0 only if every check passes.
  * @internal
  */
 export async function demoCommand(output: CommandOutput): Promise<number> {
--- a/packages/cli/src/lib/commands/gatewayCommands.ts
+++ b/packages/cli/src/lib/commands/gatewayCommands.ts
@@ -16,7 +16,7 @@
 }
 
 /**
- * Registers what runs on the users' platform and explains it.
+ * Registers the commands that run a gateway on the users' platform and analyse its logs.
  *
  * @internal
  */
@@ -32,11 +32,11 @@
         .description("list the mechanisms of a gateway that --without can leave out")
         .action(async () => exit(await mechanismsCommand(output)));
     program.command("explain <request> [log...]")
-        .description("tell from logs what happened to a request; without files, from standard input")
+        .description("explain from logs what happened to a request; reads standard input if no file is given")
         .action(async (request: string, files: string[]) => exit(await explainCommand(request, files, output)));
     program.command("losses [log...]")
         .description("count from logs the requests that were refused, failed or interrupted, by cause and second")
-        .option("--pause <milliseconds>", "the longest pause within an answer that is no interruption", parseCount)
+        .option("--pause <milliseconds>", "the longest pause that does not count as an interruption", parseCount)
         .action(async (files: string[], { pause }: { readonly pause?: number; }) =>
             exit(await lossesCommand(files, pause, output))
         );
@@ -64,7 +64,7 @@
 }
 
 /**
- * Lists the mechanisms that can be left out.
+ * Lists the mechanisms that can be disabled.
  *
  * @returns The exit code.
  * @internal
@@ -78,7 +78,7 @@
 /**
  * Explains a request.
  *
- * @returns The exit code: failed when no line names the request.
+ * @returns The exit code: `failed` if no line names the request.
  * @internal
  */
 export async function explainCommand(
@@ -92,11 +92,11 @@
     }
     const explanation = explainRequest(request, lines);
     output.write(formatExplanation(request, explanation));
-    return explanation.story.length === 0 ? exitCodes.failed : exitCodes.done;
+    return explanation.timeline.length === 0 ? exitCodes.failed : exitCodes.done;
 }
 
 /**
- * Summarizes the requests that did not go well.
+ * Summarizes the requests that were refused, failed or interrupted.
  *
  * @returns The exit code.
  * @internal
@@ -114,7 +114,7 @@
     return exitCodes.done;
 }
 
-/** The lines of log files, or of standard input where none are named. @returns Undefined when a file cannot be read. */
+/** Reads the lines of log files, or of standard input if none is named. @returns Undefined if a read fails. */
 async function readLines(
     command: string,
     files: readonly string[],
--- a/packages/cli/src/lib/commands/localCommand.ts
+++ b/packages/cli/src/lib/commands/localCommand.ts
@@ -11,7 +11,7 @@
 export interface LocalCommandOptions {
     readonly callers: Address;
     readonly operators: Address;
-    /** A folder for one history file of each node. */
+    /** The folder that receives one history file per node. */
     readonly history?: string;
     readonly log: LogLevel;
 }
@@ -19,7 +19,7 @@
 const maxSeed = 0x7fff_ffff;
 
 /**
- * Runs a small site in this process until a signal.
+ * Runs a small site in this process until SIGTERM or SIGINT.
  *
  * @returns The exit code.
  * @internal
--- a/packages/cli/src/lib/commands/parseCount.ts
+++ b/packages/cli/src/lib/commands/parseCount.ts
@@ -1,7 +1,7 @@
 import { InvalidArgumentError } from "commander";
 
 /**
- * Parses a whole number from 0 on.
+ * Parses an integer of 0 or more.
  *
  * @throws InvalidArgumentError for anything else.
  * @internal
--- a/packages/cli/src/lib/commands/standInCommands.ts
+++ b/packages/cli/src/lib/commands/standInCommands.ts
@@ -12,12 +12,12 @@
 import { seedResources } from "../site/seedResources.js";
 import { type CommandOutput } from "./CommandOutput.js";
 import { exitCodes } from "./exitCodes.js";
-import { describeFailure, type Running, runUntilSignal } from "./runUntilSignal.js";
+import { describeFailure, runUntilSignal, type Stoppable } from "./runUntilSignal.js";
 
 const seed = 1;
 
 /**
- * Serves the platform's stand-ins over HTTP until a signal.
+ * Serves in-memory stand-ins for the platform's services over HTTP until SIGTERM or SIGINT.
  *
  * @returns The exit code.
  * @internal
@@ -36,7 +36,7 @@
     return runUntilSignal(running.value);
 }
 
-async function startPlatform(settings: Settings<"platform">, output: CommandOutput): Promise<Outcome<Running>> {
+async function startPlatform(settings: Settings<"platform">, output: CommandOutput): Promise<Outcome<Stoppable>> {
     const clock = new SystemClock();
     const table = new MemoryTableStore({ clock });
     const seeded = await seedResources(settings.resources, table, clock);
@@ -62,7 +62,7 @@
 }
 
 /**
- * Serves a fake engine over HTTP until a signal.
+ * Serves a fake engine over HTTP until SIGTERM or SIGINT.
  *
  * @returns The exit code.
  * @internal
--- a/packages/cli/src/lib/createProgram.ts
+++ b/packages/cli/src/lib/createProgram.ts
@@ -24,7 +24,7 @@
 
 const examples = `
 Examples:
-  $ waxwingspar demo                                   show the main job, with a stage killed in mid-stream
+  $ waxwingspar demo                                   stream through a pipeline while a stage is killed
   $ waxwingspar local                                  a small site on 127.0.0.1:8080, operators on 127.0.0.1:8081
   $ waxwingspar local --callers 127.0.0.1:9080 --operators 127.0.0.1:9081
   $ waxwingspar entry entry.jsonc                      one entry of a site, with its settings
@@ -50,10 +50,10 @@
 export function createProgram({ output, exit }: ProgramOptions): Command {
     const program = new Command("waxwingspar")
         .description("A router for model pipelines over mixed accelerators.")
-        .version(packageVersion(), "--version", "print the version")
+        .version(readPackageVersion(), "--version", "print the version")
         .configureOutput({ writeOut: output.write, writeErr: output.writeError })
         .addHelpText("after", examples)
-        // Options of a verb may be named like those of the program, such as --version.
+        // Lets a subcommand have options of the same name as those of the program, such as --version.
         .enablePositionalOptions()
         .exitOverride();
     addSiteCommands(program, output, exit);
@@ -74,8 +74,8 @@
         .action(async () => exit(await demoCommand(output)));
     program.command("local")
         .description("run a small site in one process, on an embedded platform and fake engines")
-        .addOption(addressOption("--callers <host:port>", "where callers connect", "127.0.0.1:8080"))
-        .addOption(addressOption("--operators <host:port>", "where operators connect", "127.0.0.1:8081"))
+        .addOption(createAddressOption("--callers <host:port>", "where callers connect", "127.0.0.1:8080"))
+        .addOption(createAddressOption("--operators <host:port>", "where operators connect", "127.0.0.1:8081"))
         .option("--history <folder>", "write one history file for each node into this folder")
         .addOption(new Option("--log <level>", "the least level of logs").choices(logLevels).default("warn"))
         .action(async (options: LocalCommandOptions) => exit(await localCommand(options, output)));
@@ -83,7 +83,7 @@
 
 function addDaemonCommands(program: Command, output: CommandOutput, exit: Exit): void {
     program.command("entry <settings>")
-        .description("run an entry, which takes callers")
+        .description("run an entry, which accepts callers")
         .action(async (file: string) => exit(await entryCommand(file, output)));
     program.command("agent <settings>")
         .description("run the agent beside a target")
@@ -100,8 +100,8 @@
         .action(async (file: string) => exit(await checkGatewayCommand(file, output)));
     check.command("history <file...>")
         .description("check the history files of one run")
-        .option("--lost <process...>", "processes that were killed, of which lines may be missing", [])
-        .option("--bound <milliseconds>", "time for an accepted configuration to be in force", parseCount)
+        .option("--lost <process...>", "processes that were killed, whose last lines may be missing", [])
+        .option("--bound <milliseconds>", "time within which an accepted configuration must be in force", parseCount)
         .option("--base-revision <revision>", "the last revision accepted before the run", parseCount)
         .action(async (files: string[], options: CheckHistoryOptions) =>
             exit(await checkHistoryCommand(files, options, output))
@@ -117,11 +117,11 @@
         .action(async (file: string) => exit(await engineCommand(file, output)));
 }
 
-function addressOption(flags: string, description: string, fallback: string): Option {
+function createAddressOption(flags: string, description: string, fallback: string): Option {
     return new Option(flags, description).argParser(parseAddress).default(parseAddress(fallback), fallback);
 }
 
-function packageVersion(): string {
+function readPackageVersion(): string {
     const require = createRequire(import.meta.url);
     return z.object({ version: z.string() }).parse(require("../../package.json")).version;
 }
--- a/packages/cli/src/lib/explain/explainRequest.test.ts
+++ b/packages/cli/src/lib/explain/explainRequest.test.ts
@@ -18,15 +18,15 @@
     "{\"broken\":",
 ];
 
-test("the story holds the request's own lines in order, whatever stands before them", () => {
-    const { story } = explainRequest("r1", logs);
-    assert.deepEqual(story.map(({ msg }) => msg), ["request: attempt failed", "request: request ended"]);
+test("the timeline holds the request's own lines in order, whatever prefix they have", () => {
+    const { timeline } = explainRequest("r1", logs);
+    assert.deepEqual(timeline.map(({ msg }) => msg), ["request: attempt failed", "request: request ended"]);
 });
 
-test("beliefs are the newest before the end, of the processes that handled the request", () => {
-    const { beliefs } = explainRequest("r1", logs);
-    assert.deepEqual([...beliefs.keys()], ["a"]);
-    const [configuration, stall] = beliefs.get("a") ?? [];
+test("contexts hold the newest state before the end, of the processes that handled the request", () => {
+    const { contexts } = explainRequest("r1", logs);
+    assert.deepEqual([...contexts.keys()], ["a"]);
+    const [configuration, stall] = contexts.get("a") ?? [];
     assert.equal(configuration?.["version"], 5);
     assert.equal(stall?.msg, "chains: chain stalled");
 });
@@ -35,11 +35,11 @@
     assert.equal(explainRequest("r1", logs).unreadable, 2);
 });
 
-test("a request that no line names is said to be unknown", () => {
+test("a request that no line names is reported as unknown", () => {
     assert.match(formatExplanation("r9", explainRequest("r9", logs)), /no line names it; 2 lines/);
 });
 
-test("the story tells what became of other attempts of a request that was held back", () => {
+test("the timeline includes crashes and judgements of other attempts with the same digest", () => {
     const attempts = [
         line(1_000, "b", "request: target crashed under a run", { request: "r0", digest: "d", target: "t" }),
         line(1_100, "b", "request: attempt failed", { request: "r0", digest: "d" }),
@@ -47,19 +47,19 @@
         line(1_300, "c", "request: suspect request judged", { digest: "other", verdict: "granted" }),
         line(1_400, "a", "request: request ended", { request: "r1", digest: "d", status: 503 }),
     ];
-    const { story, beliefs } = explainRequest("r1", attempts);
-    assert.deepEqual(story.map(({ time }) => time), [1_000, 1_200, 1_400]);
-    assert.deepEqual([...beliefs.keys()], ["a"]);
+    const { timeline, contexts } = explainRequest("r1", attempts);
+    assert.deepEqual(timeline.map(({ time }) => time), [1_000, 1_200, 1_400]);
+    assert.deepEqual([...contexts.keys()], ["a"]);
 });
 
-test("a store that came back from a copy is among the beliefs", () => {
+test("the context includes a store that was restored from a copy", () => {
     const drill = [
         line(1_000, "a", "process: store came back from a copy", { era: 2, before: 1 }),
         line(1_010, "a", "process: table read after a copy", { table: "op", doubt: 9 }),
         line(1_400, "a", "request: request ended", { request: "r1", status: 200 }),
     ];
-    const { beliefs } = explainRequest("r1", drill);
-    assert.deepEqual(beliefs.get("a")?.map(({ msg }) => msg), [
+    const { contexts } = explainRequest("r1", drill);
+    assert.deepEqual(contexts.get("a")?.map(({ msg }) => msg), [
         "process: store came back from a copy",
         "process: table read after a copy",
     ]);
--- a/packages/cli/src/lib/explain/explainRequest.ts
+++ b/packages/cli/src/lib/explain/explainRequest.ts
@@ -7,21 +7,21 @@
     readonly [field: string]: unknown;
 }
 
-/** What the logs tell of one request. */
+/** What the logs contain about one request. */
 export interface Explanation {
     /**
-     * The lines that name the request, and those that tell why requests like it, by their digest, are held back, in the order of their
-     * time.
+     * The lines that name the request, and those that suspect or judge requests with the same digest, in the order of
+     * their time.
      */
-    readonly story: readonly LogLine[];
-    /** By process that handled the request: what it believed when the request ended there. */
-    readonly beliefs: ReadonlyMap<string, readonly LogLine[]>;
-    /** Lines that hold no structured log line. */
+    readonly timeline: readonly LogLine[];
+    /** For each process that handled the request: its state, and recent events there, when the request ended. */
+    readonly contexts: ReadonlyMap<string, readonly LogLine[]>;
+    /** The number of lines without a structured log line. */
     readonly unreadable: number;
 }
 
-/** Sentences by which a process tells what it believes. The newest before the request's end is what counted. */
-const beliefMessages = [
+/** Messages about a process's state. The newest one before the request's end describes the state at that time. */
+const stateMessages = [
     "configuration: configuration in force",
     "process: store lost",
     "process: store regained",
@@ -31,7 +31,7 @@
     "duty: duty taken",
     "duty: duty paused",
 ];
-/** Sentences that say what went wrong near by, and for how many milliseconds before the request's end they matter. */
+/** Messages about chains and targets that are relevant if they were logged shortly before the request's end. */
 const eventMessages = [
     "chains: chain built",
     "chains: chain broken",
@@ -40,15 +40,16 @@
     "directory: target removed",
     "directory: target restarted",
 ];
+/** Milliseconds before the request's end. */
 const eventWindow = 5_000;
-/** Sentences about all attempts of a request, which name it by its digest alone. */
+/** Messages about all attempts of a request, which identify it only by its digest. */
 const digestMessages = [
     "request: target crashed under a run",
     "request: request is suspect",
     "request: suspect request judged",
 ];
 
-/** Collects what log lines tell of a request. */
+/** Collects the log lines about a request. */
 export function explainRequest(id: string, text: readonly string[]): Explanation {
     const parsed = text.filter(line => line.trim() !== "").map(parseLine);
     const lines = parsed.filter(line => line !== undefined).sort((a, b) => a.time - b.time);
@@ -56,33 +57,33 @@
     const digests = new Set(own.flatMap(({ digest }) => typeof digest === "string" ? digest : []));
     const isOfDigest = ({ digest, msg }: LogLine) =>
         typeof digest === "string" && digests.has(digest) && digestMessages.includes(msg);
-    const story = lines.filter(line => line["request"] === id || isOfDigest(line));
-    const beliefs = new Map<string, readonly LogLine[]>();
+    const timeline = lines.filter(line => line["request"] === id || isOfDigest(line));
+    const contexts = new Map<string, readonly LogLine[]>();
     for (const { process, time } of own) {
-        beliefs.set(process, findBeliefs(lines.filter(line => line.process === process && line.time <= time), time));
+        contexts.set(process, findContext(lines.filter(line => line.process === process && line.time <= time), time));
     }
-    return { story, beliefs, unreadable: parsed.length - lines.length };
+    return { timeline, contexts, unreadable: parsed.length - lines.length };
 }
 
-/** Writes an explanation as text. */
-export function formatExplanation(id: string, { story, beliefs, unreadable }: Explanation): string {
-    if (story.length === 0) {
+/** Formats an explanation as text. */
+export function formatExplanation(id: string, { timeline, contexts, unreadable }: Explanation): string {
+    if (timeline.length === 0) {
         return `request ${id}: no line names it; ${unreadable} lines could not be read\n`;
     }
-    const sections = [...beliefs].map(([process, lines]) =>
+    const sections = [...contexts].map(([process, lines]) =>
         [`what ${process} believed then:`, ...lines.map(line => `  ${formatLine(line)}`)].join("\n")
     );
-    const head = [`request ${id}:`, ...story.map(line => `  ${formatLine(line)}`)].join("\n");
+    const head = [`request ${id}:`, ...timeline.map(line => `  ${formatLine(line)}`)].join("\n");
     return `${[head, ...sections].join("\n")}\n${unreadable} lines could not be read\n`;
 }
 
-function findBeliefs(lines: readonly LogLine[], end: number): LogLine[] {
-    const newest = beliefMessages.flatMap(message => lines.findLast(({ msg }) => msg === message) ?? []);
+function findContext(lines: readonly LogLine[], end: number): LogLine[] {
+    const newest = stateMessages.flatMap(message => lines.findLast(({ msg }) => msg === message) ?? []);
     const events = lines.filter(({ msg, time }) => eventMessages.includes(msg) && time > end - eventWindow);
     return [...newest, ...events].sort((a, b) => a.time - b.time);
 }
 
-/** Reads a line, whatever a collector of logs has put before it. */
+/** Parses a log line, ignoring any prefix that a log collector has added. */
 export function parseLine(text: string): LogLine | undefined {
     const start = text.indexOf("{");
     if (start === -1) {
--- a/packages/cli/src/lib/explain/summarizeLosses.test.ts
+++ b/packages/cli/src/lib/explain/summarizeLosses.test.ts
@@ -4,7 +4,7 @@
 
 const head = (time: number) => `{"level":30,"time":${1_783_155_900_000 + time},"process":"front-se-atl-1"`;
 
-/** Lines as a gateway wrote them, one with what a collector put before it. */
+/** Lines as a gateway writes them, one with a prefix from a log collector. */
 const logs = [
     `  24.6 front-se-atl-1 ${head(0)},"msg":"process: listening"}`,
     `${
@@ -38,12 +38,12 @@
     assert.deepEqual([...losses[0]?.seconds ?? []], [[2, 1], [3, 1]]);
 });
 
-test("the bound of pauses can be set", () => {
+test("the pause limit can be set", () => {
     const causes = summarizeLosses(logs, 300).losses.map(({ cause }) => cause);
     assert.ok(causes.every(cause => !cause.startsWith("interrupted")));
 });
 
-test("an answer that came in time and left late was held up on the way to the caller", () => {
+test("an answer that arrived in time but was delivered late was delayed on the way to the caller", () => {
     const line = `${
         head(1_000)
     },"request":"b1","status":200,"longestPause":40,"deliveredPause":900,"msg":"request: request ended"}`;
@@ -51,7 +51,7 @@
     assert.deepEqual(causes, ["held up for over 200 ms on the way to the caller"]);
 });
 
-test("an answer that was cut in the middle counts, with who gave it up and why", () => {
+test("a truncated answer counts, with the reason and the cause of giving it up", () => {
     const lines = [
         `${head(900)},"request":"c1","reason":"ECONNRESET","msg":"request: attempt failed"}`,
         `${head(950)},"request":"c1","cause":"target","msg":"request: answer given up"}`,
@@ -63,6 +63,6 @@
     assert.deepEqual(causes, ["broken off: no chain is left after \"ECONNRESET\", given up: target"]);
 });
 
-test("a summary of nothing says so", () => {
+test("a summary without log lines reports 0 requests", () => {
     assert.equal(formatLosses(summarizeLosses([])), "0 requests\n0 lines could not be read\n");
 });
--- a/packages/cli/src/lib/explain/summarizeLosses.ts
+++ b/packages/cli/src/lib/explain/summarizeLosses.ts
@@ -1,32 +1,32 @@
 import { type LogLine, parseLine } from "./explainRequest.js";
 
-/** Requests that did not go as their callers wished, by why and when. */
+/** Requests that were refused, failed or interrupted, by cause and time. */
 export interface LossSummary {
     /** Requests that ended or were refused. */
     readonly requests: number;
-    /** The most frequent first. */
+    /** Causes of losses, the most frequent first. */
     readonly losses: readonly Loss[];
-    /** Lines that hold no structured log line. */
+    /** The number of lines without a structured log line. */
     readonly unreadable: number;
 }
 
-/** One cause. */
+/** The losses with one cause. */
 export interface Loss {
     readonly cause: string;
     readonly count: number;
-    /** By second since the first line. */
+    /** Counts by seconds since the first log line. */
     readonly seconds: ReadonlyMap<number, number>;
 }
 
-/** Milliseconds without a byte in an answer above which it counts as interrupted, unless the caller says otherwise. */
+/** Default milliseconds without a byte above which an answer counts as interrupted. */
 export const defaultPauseLimit = 200;
 const millisecondsPerSecond = 1_000;
 const firstFailedStatus = 400;
 const endMessages = new Set(["request: request ended", "request: request refused"]);
 const failureMessage = "request: attempt failed";
 const givenUpMessage = "request: answer given up";
-/** How the outcome of an answer begins that was cut after its head, which had a status of success. */
-const brokenOff = "broken off";
+/** Prefix of the outcome of an answer that was truncated after a head with a success status. */
+const brokenOffPrefix = "broken off";
 
 /** Counts the requests that were refused, failed or interrupted, by cause and second. */
 export function summarizeLosses(text: readonly string[], pauseLimit = defaultPauseLimit): LossSummary {
@@ -39,7 +39,7 @@
     let requests = 0;
     for (const line of lines) {
         if (line.msg === failureMessage) {
-            failures.set(line["request"], withoutAddresses(String(line["reason"])));
+            failures.set(line["request"], maskAddresses(String(line["reason"])));
         }
         if (line.msg === givenUpMessage) {
             giveUpCauses.set(line["request"], String(line["cause"]));
@@ -63,7 +63,7 @@
     return { requests, losses: sortLosses(losses), unreadable: parsed.length - lines.length };
 }
 
-/** Writes a summary as text. */
+/** Formats a summary as text. */
 export function formatLosses({ requests, losses, unreadable }: LossSummary): string {
     const rows = losses.map(({ cause, count, seconds }) => {
         const times = [...seconds].map(([second, number]) => `${second} s: ${number}`).join(", ");
@@ -81,22 +81,22 @@
 }
 
 function findCause(line: LogLine, { failure, giveUp, pauseLimit }: LossContext): string | undefined {
-    const because = failure === undefined ? "" : ` after "${failure}"`;
+    const failureSuffix = failure === undefined ? "" : ` after "${failure}"`;
     const status = Number(line["status"]);
-    const outcome = withoutAddresses(String(line["outcome"]));
-    if (status >= firstFailedStatus || status === 0 || outcome.startsWith(brokenOff)) {
-        return `${outcome}${because}${giveUp === undefined ? "" : `, given up: ${giveUp}`}`;
+    const outcome = maskAddresses(String(line["outcome"]));
+    if (status >= firstFailedStatus || status === 0 || outcome.startsWith(brokenOffPrefix)) {
+        return `${outcome}${failureSuffix}${giveUp === undefined ? "" : `, given up: ${giveUp}`}`;
     }
     if (Number(line["longestPause"] ?? 0) > pauseLimit) {
-        return `interrupted for over ${pauseLimit} ms${because}`;
+        return `interrupted for over ${pauseLimit} ms${failureSuffix}`;
     }
     return Number(line["deliveredPause"] ?? 0) > pauseLimit
         ? `held up for over ${pauseLimit} ms on the way to the caller`
         : undefined;
 }
 
-/** Addresses would make a cause of its own of each target. */
-function withoutAddresses(reason: string): string {
+/** Replaces addresses of targets, so that losses are grouped by cause and not by target. */
+function maskAddresses(reason: string): string {
     return reason.replaceAll(/\d+\.\d+\.\d+\.\d+:\d+/g, "a target");
 }
 
--- a/packages/cli/src/lib/gateway/runGateway.ts
+++ b/packages/cli/src/lib/gateway/runGateway.ts
@@ -26,23 +26,23 @@
 export interface GatewayRunOptions {
     /** The port for metrics, on all addresses of the host. */
     readonly metricsPort?: number;
-    /** Names of mechanisms to run without, separated by commas. */
+    /** Names of the mechanisms to disable, separated by commas. */
     readonly without?: string;
-    /** A server that listens for callers already. */
+    /** A server that already listens for callers. */
     readonly callerListener?: Server;
     readonly logLevel?: LogLevel;
     readonly environment?: NodeJS.ProcessEnv;
 }
 
-/** Seeds of the random source are drawn below this bound; small seeds give alike first draws. */
+/** Upper bound of the random seed. A large range is needed, since small seeds give similar first random numbers. */
 const seedBound = 2 ** 47;
 const anyAddress = "0.0.0.0";
 
 /**
- * Runs a gateway on the users' platform until SIGTERM, and then until its last answer has ended.
+ * Runs a gateway on the users' platform until SIGTERM, then until its last answer has ended.
  *
  * @returns The exit code.
- * @throws Error when the settings are wrong or an address cannot be listened on.
+ * @throws Error if the settings are invalid or the gateway cannot listen on an address.
  */
 export async function runGateway(options: GatewayRunOptions = {}): Promise<number> {
     const clock = new SystemClock();
@@ -64,7 +64,7 @@
         isOn: parseDisabledMechanisms(options.without ?? ""),
     });
     const stopped = stopOnSignal(logs, () => gateway.stop());
-    process.on("SIGHUP", () => reloadSettings(logs, options.environment ?? process.env));
+    process.on("SIGHUP", () => validateSettings(logs, options.environment ?? process.env));
     process.on("uncaughtException", error => logs.process.error({ error: error.stack }, "uncaught exception"));
     await gateway.start();
     if (options.metricsPort !== undefined) {
@@ -77,15 +77,15 @@
 
 function createLogs(name: string, level: LogLevel = "info"): Logs {
     const logger = createLogger({ process: name, level, destination: new LogDestination() });
-    const ofPart = (part: string) => logger.child({}, { msgPrefix: `${part}: ` });
+    const createPartLogger = (part: string) => logger.child({}, { msgPrefix: `${part}: ` });
     return {
-        requests: ofPart("request"),
-        configuration: ofPart("configuration"),
-        directory: ofPart("directory"),
-        chains: ofPart("chains"),
-        duty: ofPart("duty"),
-        peers: ofPart("peers"),
-        process: ofPart("process"),
+        requests: createPartLogger("request"),
+        configuration: createPartLogger("configuration"),
+        directory: createPartLogger("directory"),
+        chains: createPartLogger("chains"),
+        duty: createPartLogger("duty"),
+        peers: createPartLogger("peers"),
+        process: createPartLogger("process"),
     };
 }
 
@@ -98,14 +98,14 @@
     });
 }
 
-/** What the settings hold is fixed for the life of a process; they are read again to tell whether they are still valid. */
-function reloadSettings(logs: Logs, environment: NodeJS.ProcessEnv): void {
+/** Reads the settings only to report whether they are still valid; a running process never applies changed settings. */
+function validateSettings(logs: Logs, environment: NodeJS.ProcessEnv): void {
     try {
         readSettings(environment);
-        logs.process.info("settings read again");
+        logs.process.info("settings read again; changes take effect at the next start");
     }
     catch (error) {
-        logs.process.error({ error: String(error) }, "settings cannot be read; the present ones stay");
+        logs.process.error({ error: String(error) }, "settings cannot be read; the current settings stay in effect");
     }
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/** Lets the last lines out. */
+/** Waits until the last log lines have been written. */
 function flushLogs(clock: Clock): Promise<void> {
     const delay = 60;
     return new Promise(resolve => void clock.schedule(resolve, delay));
--- a/packages/cli/src/localCommand.test.ts
+++ b/packages/cli/src/localCommand.test.ts
@@ -56,7 +56,7 @@
     ]);
 });
 
-test("operators read metrics, and change resources", async t => {
+test("operators can read metrics and change resources", async t => {
     const { origin, api } = await startLocal(t);
     await (await fetch(`${origin}/v1/models`)).text();
     assert.match(await (await fetch(`${api}/metrics`)).text(), /# TYPE waxwingspar_requests_total counter/);
@@ -68,7 +68,7 @@
     assert.deepEqual(models.data.map(({ id }) => id).sort(), ["demo", "second"]);
 });
 
-test("a port in use ends the command with a message", async t => {
+test("the command fails with a message if a port is in use", async t => {
     const { origin } = await startLocal(t);
     const [operators = 0] = await freePorts(1);
     const port = new URL(origin).port;
@@ -84,7 +84,7 @@
     assert.match(other.errors, /^local: 5000 not-connected\n.*EADDRINUSE/);
 });
 
-test("a wrong command line exits with 2 and names what was expected", async () => {
+test("an invalid command line exits with 2 and names what was expected", async () => {
     const cases: [string[], RegExp][] = [
         [["local", "--callers", "localhost"], /expected an IP address and a port, such as 127.0.0.1:8080/],
         [["local", "--callers", "127.0.0.1:70000"], /expected an IP address and a port/],
--- a/packages/cli/src/processes.test.ts
+++ b/packages/cli/src/processes.test.ts
@@ -20,7 +20,7 @@
 /** The ports that the example files use. */
 const examplePorts = [7000, 7001, 7002, 8080, 8081, 8101, 8102, 9000, 9101, 9102];
 
-/** Copies the example files to a folder, with free ports and a history file for each daemon. */
+/** Prepares a temporary folder for copies of the example files, with free ports and a history file per daemon. */
 async function copyExamples(t: TestContext) {
     const folder = await mkdtemp(join(tmpdir(), "waxwingspar-test-"));
     t.after(() => rm(folder, { recursive: true }));
@@ -37,7 +37,7 @@
     return { folder, copy, port: (example: number) => portFor.get(String(example)) ?? "" };
 }
 
-/** The example site, running. */
+/** Starts the example site and waits until the model is served. */
 async function startExampleSite(t: TestContext) {
     const { folder, copy, port } = await copyExamples(t);
     const spawned = (...args: string[]) => {
@@ -58,7 +58,7 @@
     const origin = `http://127.0.0.1:${port(8080)}`;
     const ask = (onText?: () => void) =>
         streamAnswer({ ...question, origin, clock: new SystemClock(), requestId: randomUUID(), onText });
-    // The agents hold nothing at first: the duty has to place the model and to order its layers.
+    // The agents hold no layers at first: the control duty has to place the model and order the loading of its layers.
     for (let attempt = 0; (await ask()).text === ""; attempt++) {
         assert.ok(attempt < maxAttempts, "the model is not served");
         await delay(askInterval);
