--- a/packages/cli/src/lib/daemons/AgentDaemon.ts
+++ b/packages/cli/src/lib/daemons/AgentDaemon.ts
@@ -4,8 +4,8 @@
 import { type Outcome } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { AgentNode } from "../nodes/AgentNode.js";
-import { ConfigurationPart } from "../nodes/ConfigurationPart.js";
-import { ControlPart } from "../nodes/ControlPart.js";
+import { ConfigurationComponent } from "../nodes/ConfigurationPart.js";
+import { ControlComponent } from "../nodes/ControlPart.js";
 import { createAgentMetrics } from "../nodes/metrics.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { OperatorsServer } from "../operators/OperatorsServer.js";
@@ -13,23 +13,24 @@
 import { type DaemonBase } from "./DaemonBase.js";
 
 /**
- * The agent as a process: settings, clock and sockets around the library classes.
+ * The agent process: connects settings, clock and sockets to the library classes.
  *
  * @internal
  */
 export class AgentDaemon {
     private readonly engine: HttpEngine;
-    private readonly part: ConfigurationPart;
-    private readonly control: ControlPart;
+    /** The configuration component of the process. */
+    private readonly part: ConfigurationComponent;
+    private readonly control: ControlComponent;
     private readonly node: AgentNode;
     private readonly operators: OperatorsServer;
 
     constructor(private readonly base: DaemonBase, settings: Settings<"agent">) {
         const { clock, store, liveList, objects, registry, nodeOptions } = base;
-        const leftClaims = new FinalClaimsStore({ objects, clock });
+        const finalClaims = new FinalClaimsStore({ objects, clock });
         const processLinks = new ProcessLinks(nodeOptions, "agent");
         const { pool } = processLinks;
-        this.part = new ConfigurationPart({
+        this.part = new ConfigurationComponent({
             ...nodeOptions,
             role: "agent",
             store,
@@ -37,7 +38,7 @@
             pool,
             seeds: settings.seeds,
         });
-        this.control = new ControlPart({ ...nodeOptions, store, pool, part: this.part });
+        this.control = new ControlComponent({ ...nodeOptions, store, pool, part: this.part });
         this.engine = new HttpEngine({ clock, origin: settings.engine.origin });
         this.node = new AgentNode({
             ...nodeOptions,
@@ -47,7 +48,7 @@
             slots: settings.slots,
             service: settings.service,
             readFence: () => readFence(store, ordersDuty(settings.dataCentre)),
-            writeLeftClaims: left => leftClaims.write(left),
+            writeLeftClaims: left => finalClaims.write(left),
             metrics: createAgentMetrics(registry),
         });
         const { agent } = this.node;
@@ -56,7 +57,7 @@
             noteFence: fence => agent.noteFence(fence),
             inUse: () => agent.inUse(),
         });
-        processLinks.offer({ ...this.part.methods(), [observeMethodName]: observe });
+        processLinks.registerMethods({ ...this.part.methods(), [observeMethodName]: observe });
         processLinks.onLink(link => this.part.membership.recordHello(link.peer));
         this.operators = new OperatorsServer({
             listen: settings.operators,
@@ -65,7 +66,7 @@
         });
     }
 
-    /** Starts to listen; then learns the configuration, however long the store takes. */
+    /** Starts to listen. Loading the configuration continues in the background, since the store may be unavailable. */
     async start(): Promise<Outcome<void>> {
         const operators = await this.operators.listen();
         if (operators.isErr) {
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Leaves gracefully.
+     * Leaves the site gracefully.
      *
-     * @returns How many requests were cut off.
+     * @returns The number of requests that were interrupted.
      */
     async stop(): Promise<number> {
         await this.control.stop();
--- a/packages/cli/src/lib/daemons/DaemonBase.ts
+++ b/packages/cli/src/lib/daemons/DaemonBase.ts
@@ -18,21 +18,21 @@
 
 const maxSeed = 0x7fff_ffff;
 
-/** Reads per second while the claims of a partition are taken over. 32 owners at once stay below the store's 2,000. */
+/** Reads per second during the takeover of a partition of claims: 32 concurrent owners stay below the store's 2,000. */
 const takeoverReadsPerSecond = 50;
 
 /**
- * How long a process waits before it asks a store that failed again. Only readers, owners of claims and holders of a
- * duty call the store steadily, some hundred processes in all, so that a short pause costs it little.
+ * Milliseconds of back-off before a process calls a failing store again. Only readers, claim owners and duty holders
+ * call the store steadily, about a hundred processes in total, so a short back-off adds little load.
  */
 const breakerPause = { base: 250, cap: 2000 };
 
-/** Settings that entry and agent have in common. @internal */
+/** Settings of an entry or an agent. @internal */
 export type DaemonSettings = Settings<"entry"> | Settings<"agent">;
 
 /**
- * What every daemon makes of its settings before its own parts: clock, logs, traces, history, and the way to the
- * platform.
+ * What all daemons create from their settings before their own components: clock, logs, traces, history and the
+ * clients of the platform's services.
  *
  * @internal
  */
@@ -41,7 +41,7 @@
     readonly registry: MetricRegistry;
     readonly logger: Logger;
     readonly store: StoreClient;
-    /** The way of claims to the store: claims never wait for the calls of anything else, nor hold them up. */
+    /** A separate store client for claims, so that claims and other store calls do not delay each other. */
     readonly claimStore: StoreClient;
     readonly objects: ObjectStore;
     readonly liveList: LiveList;
@@ -71,7 +71,7 @@
         this.liveList = new HttpLiveList(this.platform);
     }
 
-    /** Creates the common parts; fails if the history file cannot be written. */
+    /** Creates the common components; fails if the history file cannot be opened. */
     static async create(settings: DaemonSettings): Promise<Outcome<DaemonBase>> {
         const clock = new SystemClock();
         const incarnation = createIncarnation();
@@ -88,12 +88,12 @@
         return opened.map(recorder => new DaemonBase(settings, clock, recorder, incarnation));
     }
 
-    /** Takes the events of this process. */
+    /** Records the history events of this process; does nothing if no history file is configured. */
     get record(): HistoryRecorder {
         return this.recorder?.record ?? (() => undefined);
     }
 
-    /** What the nodes of this process are made from. */
+    /** The options from which the nodes of this process are created. */
     get nodeOptions(): NodeOptions {
         const { name, dataCentre, region, links, credentials } = this.settings;
         const { incarnation, clock, random, logger, record } = this;
@@ -101,7 +101,7 @@
         return { name, incarnation, dataCentre, region, links, credentials, clock, random, logger, tracer, record };
     }
 
-    /** Ends what was made here, after everything that uses it. */
+    /** Closes the common components. Must be called after all their users have stopped. */
     async close(): Promise<void> {
         await this.platform.close();
         await this.tracing.shutdown();
--- a/packages/cli/src/lib/daemons/EntryDaemon.ts
+++ b/packages/cli/src/lib/daemons/EntryDaemon.ts
@@ -12,39 +12,40 @@
 import { type EntryPart } from "@waxwingspar/policy";
 import { type Outcome } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { ConfigurationPart } from "../nodes/ConfigurationPart.js";
-import { ControlPart } from "../nodes/ControlPart.js";
+import { ConfigurationComponent } from "../nodes/ConfigurationPart.js";
+import { ControlComponent } from "../nodes/ControlPart.js";
 import { EntryNode } from "../nodes/EntryNode.js";
-import { createEntryMetrics, createReclaimObserver } from "../nodes/metrics.js";
+import { createClaimRecoveryObserver, createEntryMetrics } from "../nodes/metrics.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { createMetricsHandler } from "../operators/createMetricsHandler.js";
 import { type Settings } from "../settings/loadSettings.js";
 import { type DaemonBase } from "./DaemonBase.js";
-import { entryPartOf } from "./entryPartOf.js";
+import { findEntryPart } from "./entryPartOf.js";
 
 /**
- * The entry as a process: settings, clock and sockets around the library classes.
+ * The entry process: connects settings, clock and sockets to the library classes.
  *
  * @internal
  */
 export class EntryDaemon {
     private readonly links: ProcessLinks;
-    private readonly part: ConfigurationPart;
-    private readonly control: ControlPart;
+    /** The configuration component of the process. */
+    private readonly part: ConfigurationComponent;
+    private readonly control: ControlComponent;
     private readonly claims: ClaimRouter;
     private readonly node: EntryNode;
     private readonly api: ResourceApi;
-    /** The entries that serve claims; replaced when they change. */
+    /** The entries that own partitions of claims; replaced when the membership changes. */
     private owners: readonly ClaimOwner[] = [];
 
-    /** This entry's part of the limits of organisations; replaced when the entries change. */
+    /** Determines this entry's share of the limits of organisations; replaced when the membership changes. */
     private entryPart: EntryPart = { index: 0, count: 1 };
 
     constructor(private readonly base: DaemonBase, settings: Settings<"entry">) {
         const { clock, random, store, liveList, objects, registry, nodeOptions } = base;
         this.links = new ProcessLinks(nodeOptions, "entry");
         const { pool } = this.links;
-        this.part = new ConfigurationPart({
+        this.part = new ConfigurationComponent({
             ...nodeOptions,
             role: "entry",
             store,
@@ -52,7 +53,7 @@
             pool,
             seeds: settings.seeds,
         });
-        this.control = new ControlPart({ ...nodeOptions, store, pool, part: this.part });
+        this.control = new ControlComponent({ ...nodeOptions, store, pool, part: this.part });
         const journals: ClaimJournals = new ClaimJournals({
             table: base.claimStore,
             objects,
@@ -65,7 +66,7 @@
                     own: request => journals.report(request),
                     links: pool,
                 }),
-                onRecovery: createReclaimObserver(registry, nodeOptions.logger),
+                onRecovery: createClaimRecoveryObserver(registry, nodeOptions.logger),
             },
         });
         this.claims = new ClaimRouter({
@@ -75,14 +76,14 @@
             links: pool,
             clock,
         });
-        const leftClaims = new FinalClaimsStore({ objects, clock });
+        const finalClaims = new FinalClaimsStore({ objects, clock });
         this.node = new EntryNode({
             ...nodeOptions,
             processLinks: this.links,
             callers: settings.callers,
             configuration: this.part.node,
             claims: this.claims,
-            findLeft: claim => leftClaims.find(claim),
+            findLeft: claim => finalClaims.find(claim),
             anonymousOrganisation: settings.anonymousOrganisation,
             part: () => this.entryPart,
             limits: settings.limits,
@@ -90,13 +91,13 @@
         });
         registry.gauge({ name: "waxwingspar_open_requests", help: "Requests in progress." })
             .observe(() => this.node.entry.openRequests);
-        this.links.offer({
+        this.links.registerMethods({
             ...this.part.methods(),
             ...claimMethods(journals),
             ...reportMethods(request => journals.report(request)),
         });
         this.links.onLink(link => this.part.membership.recordHello(link.peer));
-        this.part.membership.onChange(() => this.membersChanged());
+        this.part.membership.onChange(() => this.updateMembers());
         this.api = new ResourceApi({
             ...settings.operators,
             node: this.part.node,
@@ -107,7 +108,7 @@
         });
     }
 
-    /** Starts to listen; takes callers once the configuration is known. */
+    /** Starts to listen; callers are accepted once the configuration is known, which loads in the background. */
     async start(): Promise<Outcome<void>> {
         const operators = await this.api.listen();
         if (operators.isErr) {
@@ -126,7 +127,7 @@
     /**
      * Stops gracefully.
      *
-     * @returns How many requests were cut off.
+     * @returns The number of requests that were interrupted.
      */
     async stop(): Promise<number> {
         await this.control.stop();
@@ -137,7 +138,10 @@
         return interrupted;
     }
 
-    /** The other entries and agents: those that the list shows or showed lately, and the targets of the configuration. */
+    /**
+     * The other processes that report claims: the members that the live list shows or recently showed, and the targets
+     * of the configuration. Undefined until the live list has been read.
+     */
     private reportingProcesses(): readonly ReportingProcess[] | undefined {
         const { membership, node } = this.part;
         if (!Number.isFinite(membership.listAge)) {
@@ -154,14 +158,14 @@
         return [...byName.values()];
     }
 
-    private membersChanged(): void {
+    private updateMembers(): void {
         const { membership } = this.part;
         const { router } = this.node;
         membership.members()
             .filter(({ role }) => role === "agent")
             .forEach(({ process, state }) => router.setLeaving(process, state === "leaving"));
         const names = membership.entries({ unreachable: true }).map(({ process }) => process);
-        this.entryPart = entryPartOf(this.base.nodeOptions.name, names);
+        this.entryPart = findEntryPart(this.base.nodeOptions.name, names);
         const owners = membership.entries().map(toOwner);
         if (JSON.stringify(owners) !== JSON.stringify(this.owners)) {
             this.owners = owners;
--- a/packages/cli/src/lib/nodes/AgentNode.ts
+++ b/packages/cli/src/lib/nodes/AgentNode.ts
@@ -12,20 +12,20 @@
     readonly processLinks: ProcessLinks;
     readonly engine: Engine;
     readonly configuration: Configuration;
-    /** Requests that the target runs at once. */
+    /** The maximum number of requests that the target runs concurrently. */
     readonly slots: number;
     /** The plain service beside the agent. */
     readonly service?: { readonly name: string; readonly baseUrl: string; };
     /** Reads the highest fence ever issued for this target from the store. */
     readonly readFence?: () => Promise<Outcome<number>>;
-    /** Writes down the claims of an agent that has left. */
+    /** Stores the final outcomes of the claims of an agent that has left. */
     readonly writeLeftClaims?: WriteFinalClaims;
     readonly metrics?: AgentMetrics;
     readonly settings?: Partial<AgentSettings>;
 }
 
 /**
- * An agent on the links of its process.
+ * An agent connected to the links of its process.
  *
  * @internal
  */
@@ -53,24 +53,24 @@
             metrics: options.metrics,
             settings: options.settings,
         });
-        this.links.offer(this.agent.methods);
+        this.links.registerMethods(this.agent.methods);
         this.links.onLink(link => this.agent.accept(link));
     }
 
-    /** Starts to listen and to work. */
+    /** Starts to listen and to accept work. */
     async start(): Promise<Outcome<Address>> {
         const address = await this.links.listen();
         if (address.isOk) {
             await this.agent.start();
-            this.options.logger.info({ address: address.value }, "agent: takes work");
+            this.options.logger.info({ address: address.value }, "agent: accepting work");
         }
         return address;
     }
 
     /**
-     * Leaves gracefully.
+     * Leaves the site gracefully.
      *
-     * @returns How many requests were cut off.
+     * @returns The number of requests that were interrupted.
      */
     async stop(): Promise<number> {
         const { interrupted } = await this.agent.leave();
@@ -78,7 +78,7 @@
         return interrupted;
     }
 
-    /** Ends as if the process had been killed: no message goes out any more. */
+    /** Simulates a killed process: no further message is sent. */
     async kill(): Promise<void> {
         this.links.terminate();
         await this.agent.close();
--- a/packages/cli/src/lib/nodes/ConfigurationPart.ts
+++ b/packages/cli/src/lib/nodes/ConfigurationPart.ts
@@ -4,7 +4,7 @@
 import { type NodeOptions } from "./NodeOptions.js";
 
 /** @internal */
-export interface ConfigurationPartOptions extends NodeOptions {
+export interface ConfigurationComponentOptions extends NodeOptions {
     readonly role: "entry" | "agent";
     readonly store: TableStore;
     readonly liveList: LiveList;
@@ -13,16 +13,16 @@
 }
 
 /**
- * What every process needs to know the configuration in force and the other processes.
+ * The components that keep a process informed of the configuration in force and of the other processes.
  *
  * @internal
  */
-export class ConfigurationPart {
+export class ConfigurationComponent {
     readonly membership: Membership;
     readonly node: ConfigurationNode;
     readonly resources: ResourceStore;
 
-    constructor(options: ConfigurationPartOptions) {
+    constructor(options: ConfigurationComponentOptions) {
         const { clock, random, record, liveList, pool, seeds } = options;
         const { name: process, role, incarnation, dataCentre, region, links } = options;
         const self = { process, role, ...links, dataCentre, region, incarnation };
@@ -37,12 +37,12 @@
         this.resources = new ResourceStore({ log, state, clock, random, record, onAccepted, findNewest });
     }
 
-    /** The JSON-RPC methods that every peer is offered. */
+    /** The JSON-RPC methods that are available to every peer. */
     methods(): Record<string, RpcMethod> {
         return this.node.methods();
     }
 
-    /** Says that this process leaves, and stops learning. */
+    /** Announces that this process leaves, and stops following changes. */
     async stop(): Promise<void> {
         await this.node.announceLeaving();
         this.node.stop();
--- a/packages/cli/src/lib/nodes/ControlPart.ts
+++ b/packages/cli/src/lib/nodes/ControlPart.ts
@@ -2,38 +2,39 @@
 import { DutyRunner, LinkTargetPort, PlacementStore, SiteDuty } from "@waxwingspar/control";
 import { type TableStore } from "@waxwingspar/stores";
 import { type LinkPool } from "@waxwingspar/transport";
-import { type ConfigurationPart } from "./ConfigurationPart.js";
+import { type ConfigurationComponent } from "./ConfigurationPart.js";
 import { type NodeOptions } from "./NodeOptions.js";
 
 /** @internal */
-export interface ControlPartOptions extends NodeOptions {
+export interface ControlComponentOptions extends NodeOptions {
     readonly store: TableStore;
     readonly pool: LinkPool;
-    readonly part: ConfigurationPart;
-    /** Times that differ from the defaults of the control package, for sites that are to move fast. */
+    /** The configuration component of the same process. */
+    readonly part: ConfigurationComponent;
+    /** Overrides of the control package's default times, for sites that must react fast. */
     readonly times?: ControlTimes;
 }
 
-/** In milliseconds; see the options of the control package. @internal */
+/** Times in milliseconds; see the options of the control package. @internal */
 export interface ControlTimes {
     /** How long a lease lasts. */
     readonly duration?: number;
-    /** Between two steps. */
+    /** Between two steps of the duty. */
     readonly interval?: number;
     readonly drainDelay?: number;
     readonly observeInterval?: number;
 }
 
 /**
- * The part that a process takes in the control duty of its data centre: it places pipelines and gives orders while it
- * holds the lease, and does nothing otherwise.
+ * Takes part in the control duty of the process's data centre: places pipelines and issues orders while it holds the
+ * lease, and does nothing otherwise.
  *
  * @internal
  */
-export class ControlPart {
+export class ControlComponent {
     private readonly runner: DutyRunner;
 
-    constructor(options: ControlPartOptions) {
+    constructor(options: ControlComponentOptions) {
         const { clock, random, logger, incarnation, store, times, name: process } = options;
         this.runner = new DutyRunner({
             store,
@@ -45,7 +46,7 @@
             duration: times?.duration,
             interval: times?.interval,
             members: () => membersOf(options.part),
-            onFault: (duty, fault) => logger.error({ duty, fault }, "control: a duty met a fault of the program"),
+            onFault: (duty, fault) => logger.error({ duty, fault }, "control: a duty failed with an unexpected error"),
         });
     }
 
@@ -54,18 +55,18 @@
         return this.runner.held().length > 0;
     }
 
-    /** Begins to poll the lease. */
+    /** Starts to poll the lease. */
     start(): void {
         this.runner.start();
     }
 
-    /** Ends the work in progress and gives the lease up, so that another takes it at once. */
+    /** Ends the work in progress and releases the lease, so that another process can acquire it without delay. */
     stop(): Promise<void> {
         return this.runner.stop();
     }
 }
 
-function createSiteDuty(options: ControlPartOptions): SiteDuty {
+function createSiteDuty(options: ControlComponentOptions): SiteDuty {
     const { dataCentre, clock, logger, record, store, pool, part, times } = options;
     const configuration = part.node;
     const placements = new PlacementStore(part.resources, store);
@@ -76,7 +77,7 @@
         store,
         record,
         targets: new LinkTargetPort({ pool, addressOf: target => configuration.get("target", target)?.spec }),
-        incarnationOf: liveIncarnations(part),
+        incarnationOf: createIncarnationLookup(part),
         drainDelay: times?.drainDelay,
         observeInterval: times?.observeInterval,
         readRevision: () => placements.readRevision(),
@@ -85,8 +86,8 @@
     });
 }
 
-/** Looks up the start of a target's live agent. The table is built once for each change of the membership. */
-function liveIncarnations({ membership }: ConfigurationPart): (target: string) => string | undefined {
+/** Creates a lookup of the incarnation of a target's live agent. The map is rebuilt when the membership changes. */
+function createIncarnationLookup({ membership }: ConfigurationComponent): (target: string) => string | undefined {
     let members: readonly Member[] | undefined;
     let incarnations = new Map<string, string | undefined>();
     return target => {
@@ -100,7 +101,9 @@
     };
 }
 
-function membersOf({ membership }: ConfigurationPart): { process: string; dataCentre: string; leaving: boolean; }[] {
+function membersOf(
+    { membership }: ConfigurationComponent,
+): { process: string; dataCentre: string; leaving: boolean; }[] {
     return membership.members()
         .filter(({ state }) => state !== "unreachable")
         .map(({ process, dataCentre, state }) => ({ process, dataCentre, leaving: state === "leaving" }));
--- a/packages/cli/src/lib/nodes/EntryNode.ts
+++ b/packages/cli/src/lib/nodes/EntryNode.ts
@@ -20,18 +20,18 @@
     readonly callers: Address;
     readonly configuration: Configuration;
     readonly claims: Claims;
-    /** Looks up what became of a claim whose runner is gone. */
+    /** Looks up the final outcome of a claim whose runner has left. */
     readonly findLeft?: FindFinalOutcome;
     /** The organisation for which callers without a credential act. */
     readonly anonymousOrganisation?: string;
-    /** Which of the live entries this one is; by default the only one. */
+    /** This entry's index among the live entries, and their number; by default it is the only one. */
     readonly part?: () => EntryPart;
     readonly limits?: Partial<EntryLimits>;
     readonly metrics?: EntryMetrics;
 }
 
 /**
- * An entry with its links.
+ * An entry connected to the links of its process.
  *
  * @internal
  */
@@ -70,7 +70,7 @@
         });
     }
 
-    /** Starts to take callers. */
+    /** Starts to accept callers. */
     start(): Promise<Outcome<Address>> {
         return this.entry.start();
     }
@@ -78,7 +78,7 @@
     /**
      * Stops gracefully.
      *
-     * @returns How many requests were cut off.
+     * @returns The number of requests that were interrupted.
      */
     async stop(): Promise<number> {
         const interrupted = await this.entry.stop();
--- a/packages/cli/src/lib/nodes/NodeOptions.ts
+++ b/packages/cli/src/lib/nodes/NodeOptions.ts
@@ -5,7 +5,7 @@
 import { type Logger } from "pino";
 
 /**
- * What every node of a site is made from.
+ * The options that every node of a site has in common.
  *
  * @internal
  */
@@ -25,13 +25,13 @@
     readonly record: HistoryRecorder;
 }
 
-/** Creates the hello of a node. @internal */
+/** Creates the hello message of a node. @internal */
 export function createHello(options: NodeOptions, role: Hello["role"]): Hello {
     const { name, incarnation, dataCentre } = options;
     return { type: "hello", protocol: protocolVersion, process: name, role, incarnation, dataCentre };
 }
 
-/** The name of one start of a process. @internal */
+/** Creates the unique identifier of one run of a process. @internal */
 export function createIncarnation(): string {
     return uniqueId();
 }
--- a/packages/cli/src/lib/nodes/ProcessLinks.ts
+++ b/packages/cli/src/lib/nodes/ProcessLinks.ts
@@ -3,7 +3,7 @@
 import { createHello, type NodeOptions } from "./NodeOptions.js";
 
 /**
- * All links of a process: those that it opens and those that it accepts. Both offer the same methods.
+ * All links of a process: those that it opens and those that it accepts. Both serve the same methods.
  *
  * @internal
  */
@@ -29,12 +29,12 @@
         });
     }
 
-    /** Offers methods to every peer. To be called before the first link exists. */
-    offer(methods: Readonly<Record<string, RpcMethod>>): void {
+    /** Registers methods that every peer can call. Must be called before the first link exists. */
+    registerMethods(methods: Readonly<Record<string, RpcMethod>>): void {
         Object.assign(this.methods, methods);
     }
 
-    /** Adds a function that takes every link that is accepted, before its first message. */
+    /** Adds a handler that is called for every accepted link, before its first message. */
     onLink(handler: (link: Link) => void): void {
         this.handlers.push(handler);
     }
@@ -44,13 +44,13 @@
         return this.server.listen();
     }
 
-    /** Closes every link after what is queued has left. */
+    /** Closes every link after its queued messages have been sent. */
     async close(): Promise<void> {
         this.pool.close();
         await this.server.close();
     }
 
-    /** Cuts every link at once, as when the process dies. */
+    /** Terminates every link immediately, as if the process had crashed. */
     terminate(): void {
         this.server.terminate();
         this.pool.terminate();
--- a/packages/cli/src/lib/nodes/metrics.ts
+++ b/packages/cli/src/lib/nodes/metrics.ts
@@ -4,7 +4,7 @@
 import { type MetricRegistry } from "@waxwingspar/telemetry";
 import { type Logger } from "pino";
 
-/** Feeds the figures of an entry to a registry. docs/METRICS.md lists them. @internal */
+/** Registers the metrics of an entry. docs/METRICS.md lists them. @internal */
 export function createEntryMetrics(registry: MetricRegistry): EntryMetrics {
     const requests = registry.counter({
         name: "waxwingspar_requests_total",
@@ -39,24 +39,27 @@
     };
 }
 
-/** Logs and counts each look for claims that the store may have lost. @internal */
-export function createReclaimObserver(registry: MetricRegistry, logger: Logger): (reclaim: ClaimRecovery) => void {
-    const looks = registry.counter({
+/** Logs and counts each recovery of claims that the store may have lost. @internal */
+export function createClaimRecoveryObserver(
+    registry: MetricRegistry,
+    logger: Logger,
+): (recovery: ClaimRecovery) => void {
+    const recoveries = registry.counter({
         name: "waxwingspar_claim_reclaims_total",
-        help: "Looks for claims that the store may have lost, by outcome: settled, or refused and to be repeated.",
+        help: "Recoveries of claims that the store may have lost, by outcome: settled, or refused and to be repeated.",
     });
-    return reclaim => {
-        if (reclaim.refusal === undefined) {
-            looks.add({ outcome: "settled" });
-            logger.info(reclaim, "claims: lost claims are written again");
+    return recovery => {
+        if (recovery.refusal === undefined) {
+            recoveries.add({ outcome: "settled" });
+            logger.info(recovery, "claims: lost claims are written again");
             return;
         }
-        looks.add({ outcome: "refused" });
-        logger.warn(reclaim, "claims: new claims are refused, some may be lost");
+        recoveries.add({ outcome: "refused" });
+        logger.warn(recovery, "claims: new claims are refused, some may be lost");
     };
 }
 
-/** Feeds the figures of an agent to a registry. @internal */
+/** Registers the metrics of an agent. @internal */
 export function createAgentMetrics(registry: MetricRegistry): AgentMetrics {
     const firstTokens = registry.histogram({
         name: "waxwingspar_agent_first_token_seconds",
@@ -68,11 +71,11 @@
     });
     const dropped = registry.counter({
         name: "waxwingspar_agent_dropped_messages_total",
-        help: "Messages that came late, twice or from an old attempt, by type.",
+        help: "Messages that were late, duplicate or from an earlier attempt, by type.",
     });
     const attempts = registry.counter({
         name: "waxwingspar_agent_attempts_total",
-        help: "Attempts that ended here, by the way they ended.",
+        help: "Attempts that ended on this agent, by their final state.",
     });
     return {
         firstToken: duration => firstTokens.record(duration),
--- a/packages/cli/src/lib/site/LocalSite.test.ts
+++ b/packages/cli/src/lib/site/LocalSite.test.ts
@@ -46,7 +46,7 @@
     return { site, spans, complete, operators: `http://127.0.0.1:${operators.port}` };
 }
 
-test("a request has one span for each hop in its caller's trace, however many tokens it has", async t => {
+test("a request has one span per hop in its caller's trace, regardless of its number of tokens", async t => {
     const { site, spans, complete } = await startSite(t);
     await complete(5);
     await complete(30);
@@ -57,7 +57,7 @@
     assert.deepEqual(names, [...ofOne, ...ofOne].sort());
 });
 
-test("docs/METRICS.md lists exactly the metrics that a site and a gateway have", async t => {
+test("docs/METRICS.md lists exactly the metrics of a site and a gateway", async t => {
     const { complete, operators } = await startSite(t);
     await complete(5);
     const gateway = new MetricRegistry(new SystemClock());
--- a/packages/cli/src/lib/site/LocalSite.ts
+++ b/packages/cli/src/lib/site/LocalSite.ts
@@ -12,7 +12,7 @@
 import { Result } from "true-myth";
 import { AgentNode } from "../nodes/AgentNode.js";
 import { EntryNode } from "../nodes/EntryNode.js";
-import { createAgentMetrics, createEntryMetrics, createReclaimObserver } from "../nodes/metrics.js";
+import { createAgentMetrics, createClaimRecoveryObserver, createEntryMetrics } from "../nodes/metrics.js";
 import { createIncarnation, type NodeOptions } from "../nodes/NodeOptions.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { createMetricsHandler } from "../operators/createMetricsHandler.js";
@@ -34,17 +34,17 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
-    /** The folder for one history file of each node; without it nothing is recorded. */
+    /** The folder that receives one history file per node; if absent, no history is recorded. */
     readonly historyFolder?: string;
-    /** Targets for each stage of the model. Default 2. */
+    /** Targets per stage of the model. Default 2. */
     readonly replicas?: number;
     /** Milliseconds that a fake engine takes for one batch. Default 5. */
     readonly stepTime?: number;
-    /** Traces of all nodes. By default nothing is traced. */
+    /** Tracing for all nodes. By default nothing is traced. */
     readonly tracing?: Tracing;
 }
 
-/** An agent of the site with what belongs to it. @internal */
+/** An agent of the site with its engine and history. @internal */
 export interface SiteAgent {
     readonly name: string;
     readonly stage: number | undefined;
@@ -60,12 +60,12 @@
     readonly operators: Address;
 }
 
-/** Milliseconds between "not ready" and the closed door: nobody balances over a local site. */
+/** Milliseconds between reporting "not ready" and closing the listener: no load balancer needs to notice it. */
 const stopLead = 0;
 
 /**
- * A whole small site in one process: embedded platform, fake engines, agents, an entry and the records service. The
- * links between them are real ones over loopback.
+ * A small but complete site in one process: embedded platform, fake engines, agents, an entry and the records service.
+ * They communicate over real links on loopback.
  *
  * @internal
  */
@@ -103,7 +103,7 @@
         });
     }
 
-    /** Starts everything. @returns Where callers and operators connect, or why the site cannot run. */
+    /** Starts the site. @returns The addresses for callers and operators, or the failure that kept it from starting. */
     async start(): Promise<Outcome<SiteAddresses>> {
         const targets = await this.startAgents();
         if (targets.isErr) {
@@ -124,16 +124,16 @@
     }
 
     /**
-     * Stops gracefully: the entry first, so that what runs can end. Calling it again returns the same promise.
+     * Stops gracefully: the entry first, so that requests in progress can end. Further calls return the same promise.
      *
-     * @returns How many requests were cut off.
+     * @returns The number of requests that were interrupted.
      */
     stop(): Promise<number> {
         this.stopping ??= this.runStop();
         return this.stopping;
     }
 
-    /** Kills an agent and its engine, as when their host dies: no message and no line of history comes any more. */
+    /** Simulates the crash of an agent's host: no further message is sent and no further history is recorded. */
     async kill(agent: SiteAgent): Promise<void> {
         agent.killed = true;
         agent.engine.crash();
@@ -152,7 +152,7 @@
         return cuts.reduce((sum, count) => sum + count, cut);
     }
 
-    /** The whole site is one process, so what is accepted is in force. */
+    /** Creates the API's view of the site. In a single process, an accepted revision is in force immediately. */
     private createApiNode(): ApiNode {
         const isReady = () => this.ready;
         return {
@@ -240,7 +240,7 @@
             callers: this.options.callers,
             configuration: this.configuration,
             claims: new TableClaims(this.store, this.options.clock, {
-                onRecovery: createReclaimObserver(this.registry, nodeOptions.logger),
+                onRecovery: createClaimRecoveryObserver(this.registry, nodeOptions.logger),
             }),
             anonymousOrganisation: localOrganisation,
             limits: { stopLead },
--- a/packages/cli/src/lib/site/RecordsService.ts
+++ b/packages/cli/src/lib/site/RecordsService.ts
@@ -13,7 +13,7 @@
 const service = "records";
 
 /**
- * A plain service for trials: each POST /work-orders is a run of its own, GET /work-orders lists them.
+ * A plain service for trials: each POST /work-orders adds a run, and GET /work-orders lists all runs.
  *
  * @internal
  */
@@ -21,12 +21,12 @@
     private readonly server: Server;
     private readonly runs: WorkOrderRun[] = [];
 
-    /** @param record - Takes an event for every run, as the service's own witness. */
+    /** @param record - Records an event for every run, so that a history check can detect duplicate runs. */
     constructor(private readonly record: HistoryRecorder) {
         this.server = createServer((request, response) => void this.serve(request, response));
     }
 
-    /** How often POST /work-orders has run. */
+    /** The number of times that POST /work-orders has run. */
     get runCount(): number {
         return this.runs.length;
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/** Reads a body; undefined if it is too long or breaks off. */
+/** Reads a body; undefined if it is too large or the connection is lost. */
 async function readBody(request: IncomingMessage): Promise<string | undefined> {
     const pieces: Buffer[] = [];
     let bytes = 0;
@@ -97,7 +97,7 @@
     return Buffer.concat(pieces).toString();
 }
 
-/** JSON where the body is JSON, otherwise its text. */
+/** Parses a body as JSON; returns its text if it is not JSON. */
 function parseBody(body: string): unknown {
     try {
         return JSON.parse(body) as unknown;
--- a/packages/cli/src/lib/site/rollout.test.ts
+++ b/packages/cli/src/lib/site/rollout.test.ts
@@ -7,12 +7,12 @@
 const maxTokens = 24;
 const callers = 4;
 
-/** Callers that send one request after the other, and what came of them. */
+/** Concurrent callers that each send requests one after another, and the results. */
 class Traffic {
-    /** The whole right answers: which request, and of which version. */
+    /** The correct answers: the number of the request, and the version that answered it. */
     readonly answered: { number: number; version: string; }[] = [];
     readonly wrong: string[] = [];
-    /** Requests that were sent. */
+    /** The number of requests sent. */
     count = 0;
     private stopped = false;
     private readonly running: Promise<void[]>;
@@ -21,15 +21,15 @@
         this.running = Promise.all(Array.from({ length: callers }, () => this.call()));
     }
 
-    /** Waits until so many more requests have been answered. */
-    async more(count: number): Promise<void> {
+    /** Waits until the given number of further requests has been answered. */
+    async waitForAnswers(count: number): Promise<void> {
         const wanted = this.answered.length + count;
         const done = () => this.answered.length >= wanted || this.wrong.length > 0;
         await this.site.until(`${wanted} answers`, done);
         assert.deepEqual(this.wrong, []);
     }
 
-    /** The versions that answered requests which were sent after so many others. */
+    /** Returns the versions that answered the requests with a number above the given one. */
     versionsAfter(count: number): string[] {
         return [...new Set(this.answered.filter(({ number }) => number > count).map(({ version }) => version))].sort();
     }
@@ -72,7 +72,7 @@
     await site.until(`${version} alone serves`, () => site.servesOnly(version));
     await site.until(`${version} alone is held`, async () => (await site.heldVersions()).join() === version);
     const before = traffic.count;
-    await traffic.more(4 * callers);
+    await traffic.waitForAnswers(4 * callers);
     assert.deepEqual(traffic.versionsAfter(before), [version]);
 }
 
@@ -88,7 +88,7 @@
 test("a new version takes over under requests, and every answer is of one version", async t => {
     const site = await startSite(t);
     const traffic = new Traffic(site);
-    await traffic.more(10);
+    await traffic.waitForAnswers(10);
     await site.setCurrent("v2");
     await assertServesOnly(site, traffic, "v2");
     assert.deepEqual(traffic.versionsAfter(0), ["v1", "v2"]);
@@ -99,10 +99,10 @@
     const site = await startSite(t);
     const traffic = new Traffic(site);
     await site.setCurrent("v2");
-    const first = await site.stopHolder();
+    const first = await site.stopDutyHolder();
     await site.until("a pipeline of v2 serves", () => site.readyPipelines("v2") > 0);
     await site.setCurrent("v1");
-    const second = await site.stopHolder();
+    const second = await site.stopDutyHolder();
     assert.notEqual(second, first);
     await assertServesOnly(site, traffic, "v1");
     await finish(site, traffic);
--- a/packages/cli/src/lib/site/seedResources.ts
+++ b/packages/cli/src/lib/site/seedResources.ts
@@ -12,10 +12,10 @@
 import { Result } from "true-myth";
 
 /**
- * Creates resources in a table service, as an operator would.
+ * Creates resources in a table store through the resource store, as an operator's change does.
  *
  * @param documents - Resources as kind, name and spec.
- * @returns The revision that holds them; `invalidSettings` with a line for each fault.
+ * @returns The revision that contains them; or `invalidSettings` with one line per fault.
  * @internal
  */
 export async function seedResources(
@@ -29,7 +29,7 @@
 }
 
 /**
- * Applies resources through a store; see {@link seedResources}.
+ * Applies resources through an existing resource store; see {@link seedResources}.
  *
  * @internal
  */
--- a/packages/cli/src/lib/site/siteResources.ts
+++ b/packages/cli/src/lib/site/siteResources.ts
@@ -1,16 +1,16 @@
 import { type Kind } from "@waxwingspar/config";
 import { type Address } from "@waxwingspar/transport";
 
-/** The model that comes with a local site. @internal */
+/** The model of a local site. @internal */
 export const demoModel = { name: "demo", version: "v1", layers: 12 } as const;
 
-/** The layer ranges of its three stages. @internal */
+/** The layer ranges of the model's three stages. @internal */
 export const demoStages = [{ first: 0, last: 3 }, { first: 4, last: 7 }, { first: 8, last: 11 }] as const;
 
-/** The organisation for which callers of a local site act. @internal */
+/** The organisation of a local site's callers. @internal */
 export const localOrganisation = "local";
 
-/** The plain service that comes with a local site. @internal */
+/** The plain service of a local site. @internal */
 export const recordsService = "records";
 
 /** @internal */
@@ -20,15 +20,15 @@
     readonly spec: object;
 }
 
-/** A target of a local site, once its agent listens. @internal */
+/** A target of a local site whose agent listens. @internal */
 export interface SiteTarget {
     readonly name: string;
     readonly address: Address;
-    /** The stage that it holds, by its index, or undefined for the target of the plain service. */
+    /** The index of the stage that the target holds; undefined for the target of the plain service. */
     readonly stage: number | undefined;
 }
 
-/** Every resource of a local site, as an operator would write them. @internal */
+/** Returns all resources of a local site, in the form in which operators apply them. @internal */
 export function siteResources(targets: readonly SiteTarget[]): SiteResource[] {
     const { name, version, layers } = demoModel;
     const workOrders = { method: "POST", path: "/work-orders" };
--- a/packages/cli/src/lib/testing/RolloutSite.ts
+++ b/packages/cli/src/lib/testing/RolloutSite.ts
@@ -9,15 +9,15 @@
 import { randomBytes } from "node:crypto";
 import { setTimeout as pause } from "node:timers/promises";
 import { AgentNode } from "../nodes/AgentNode.js";
-import { ConfigurationPart } from "../nodes/ConfigurationPart.js";
-import { ControlPart } from "../nodes/ControlPart.js";
+import { ConfigurationComponent } from "../nodes/ConfigurationPart.js";
+import { ControlComponent } from "../nodes/ControlPart.js";
 import { EntryNode } from "../nodes/EntryNode.js";
 import { createIncarnation, type NodeOptions } from "../nodes/NodeOptions.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { applyDocuments } from "../site/seedResources.js";
 import { freePorts } from "./freePorts.js";
 
-/** A model of three stages; each target has room for its layers in two versions. @internal */
+/** The model, with three stages. A target has memory for the layers of one stage in 2 versions. @internal */
 export const rolloutModel = { name: "demo", layers: 6, replicas: 2 } as const;
 
 const dataCentre = "dc1";
@@ -25,23 +25,25 @@
 const layerBytes = 1_000_000;
 const targetMemory = 4_000_000;
 const targetCount = 7;
-/** Three layers load in a third of a second. */
+/** Bytes per second: three layers load in a third of a second. */
 const loadRate = 10_000_000;
+/** Milliseconds. */
 const times = { duration: 1500, interval: 50, drainDelay: 1500, observeInterval: 50 };
-const patience = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 const pollInterval = 20;
 
 interface SiteAgent {
     readonly name: string;
     readonly engine: FakeEngine;
     readonly node: AgentNode;
-    readonly part: ConfigurationPart;
-    readonly control: ControlPart;
+    readonly part: ConfigurationComponent;
+    readonly control: ControlComponent;
 }
 
 /**
- * Processes with the whole way from an operator's change to the engines in them: configuration, membership, control
- * duty, agents with fake engines, and an entry, over links on loopback and one table service in memory.
+ * A site that covers the whole path from an operator's change to the engines: configuration, membership, control duty,
+ * agents with fake engines, and an entry, connected by links on loopback and one in-memory table store.
  *
  * @internal
  */
@@ -54,9 +56,9 @@
     private readonly credentials = { keys: [{ id: "site", secret: randomBytes(32).toString("hex") }] };
     private readonly tracing = createTracing({ process: "rollout" });
     private readonly sequences = new Map<string, number>();
-    private entry: { node: EntryNode; part: ConfigurationPart; address: Address; } | undefined;
+    private entry: { node: EntryNode; part: ConfigurationComponent; address: Address; } | undefined;
 
-    /** Starts every process, declares the targets and the model at its first version, and waits until it serves. */
+    /** Starts all nodes, applies the targets and the model's first version, and waits until the model is served. */
     async start(): Promise<void> {
         const [entryPort = 0, ...ports] = await freePorts(targetCount + 1);
         for (const [index, port] of ports.entries()) {
@@ -71,7 +73,7 @@
         await this.until("the first version serves", () => this.servesOnly("v1"));
     }
 
-    /** Ends everything. */
+    /** Stops all nodes. */
     async stop(): Promise<void> {
         await Promise.all(this.agents.map(({ control }) => control.stop()));
         await this.entry?.part.stop();
@@ -83,48 +85,48 @@
         await this.tracing.shutdown();
     }
 
-    /** Makes a version the current one, as an operator would. */
+    /** Makes a version the current one, as an operator's change does. */
     async setCurrent(version: string): Promise<void> {
         await this.declare([modelDocument(version)]);
     }
 
-    /** Ends the part that the present holder takes in the control duty. @returns Its name. */
-    async stopHolder(): Promise<string> {
-        await this.until("somebody holds the duty", () => this.agents.some(({ control }) => control.holding));
+    /** Stops the control component of the current duty holder. @returns The holder's name. */
+    async stopDutyHolder(): Promise<string> {
+        await this.until("an agent holds the duty", () => this.agents.some(({ control }) => control.holding));
         const holder = this.agents.find(({ control }) => control.holding)!;
         await holder.control.stop();
         return holder.name;
     }
 
-    /** How many pipelines of a version are ready, as the entry sees it. */
+    /** Returns the number of ready pipelines of a version that the entry knows. */
     readyPipelines(version: string): number {
         const placements = this.entry?.part.node.list("placement") ?? [];
         return placements.filter(({ spec }) => spec.version === version && spec.ready).length;
     }
 
-    /** How many stages the pipelines have. */
+    /** Returns the number of stages of each pipeline. */
     stageCounts(): number[] {
         return (this.entry?.part.node.list("placement") ?? []).map(({ spec }) => spec.stages.length);
     }
 
-    /** Whether all wanted pipelines of a version are ready, and there are no others. */
+    /** Whether all replicas of a version's pipeline are ready, and there are no other pipelines. */
     servesOnly(version: string): boolean {
         const placements = this.entry?.part.node.list("placement") ?? [];
         return this.readyPipelines(version) === rolloutModel.replicas && placements.length === rolloutModel.replicas;
     }
 
-    /** The versions that engines hold. */
+    /** Returns the versions of which the engines hold layers. */
     async heldVersions(): Promise<string[]> {
         const infos = await Promise.all(this.agents.map(({ engine }) => engine.info()));
         const held = infos.flatMap(info => info.isOk ? info.value.held.map(({ version }) => version) : []);
         return [...new Set(held)].sort();
     }
 
-    /** Waits until something holds. @throws Error when that takes far too long. */
+    /** Waits until a condition holds. @throws Error after a timeout. */
     async until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
         for (let waited = 0; !await holds(); waited += pollInterval) {
-            if (waited > patience) {
-                throw new Error(`waited in vain until ${what}`);
+            if (waited > waitTimeout) {
+                throw new Error(`timed out after ${waitTimeout} ms waiting until ${what}`);
             }
             await pause(pollInterval);
         }
@@ -143,7 +145,7 @@
         return { status: response.status, text };
     }
 
-    /** What the checker finds in the history of all processes. To be called after {@link RolloutSite.stop}. */
+    /** Checks the history of all nodes. Must be called after {@link RolloutSite.stop}. @returns The violations. */
     violations(): string[] {
         return checkHistory(this.history).violations.map(({ rule, message }) => `${rule}: ${message}`);
     }
@@ -160,8 +162,8 @@
         const options = this.nodeOptions(name, port, seed, name);
         const processLinks = new ProcessLinks(options, "agent");
         const { pool } = processLinks;
-        const part = new ConfigurationPart({ ...options, role: "agent", store, liveList, pool, seeds: [] });
-        const control = new ControlPart({ ...options, store, pool, part, times });
+        const part = new ConfigurationComponent({ ...options, role: "agent", store, liveList, pool, seeds: [] });
+        const control = new ControlComponent({ ...options, store, pool, part, times });
         const engine = new FakeEngine({ clock, memory: targetMemory, loadRate, stepTime: 2 });
         const node = new AgentNode({
             ...options,
@@ -176,7 +178,7 @@
             noteFence: fence => node.agent.noteFence(fence),
             inUse: () => node.agent.inUse(),
         });
-        processLinks.offer({ ...part.methods(), [observeMethodName]: observe });
+        processLinks.registerMethods({ ...part.methods(), [observeMethodName]: observe });
         processLinks.onLink(link => part.membership.recordHello(link.peer));
         await node.start();
         this.join(name, "agent", port);
@@ -190,8 +192,8 @@
         const options = this.nodeOptions("entry-1", port, targetCount);
         const processLinks = new ProcessLinks(options, "entry");
         const { pool } = processLinks;
-        const part = new ConfigurationPart({ ...options, role: "entry", store, liveList, pool, seeds: [] });
-        processLinks.offer(part.methods());
+        const part = new ConfigurationComponent({ ...options, role: "entry", store, liveList, pool, seeds: [] });
+        processLinks.registerMethods(part.methods());
         processLinks.onLink(link => part.membership.recordHello(link.peer));
         const node = new EntryNode({
             ...options,
@@ -246,8 +248,8 @@
 
 function modelDocument(current: string): object {
     const { name, layers, replicas } = rolloutModel;
-    // The engines of the test share their time with everything else, so no bound on it is asked for.
-    const firstTokenBound = patience;
+    // The fake engines share the processor with the other tests, so the bound is long enough never to matter.
+    const firstTokenBound = waitTimeout;
     const spec = { layers, versions: ["v1", "v2"], current, layerBytes, replicas, firstTokenBound };
     return { kind: "model", name, spec };
 }
--- a/packages/cli/src/lib/testing/SpawnedCommand.ts
+++ b/packages/cli/src/lib/testing/SpawnedCommand.ts
@@ -4,11 +4,13 @@
 import { fileURLToPath } from "node:url";
 
 const bin = fileURLToPath(new URL("../../bin.js", import.meta.url));
+/** Milliseconds. */
 const pollInterval = 50;
-const patience = 60_000;
+/** Milliseconds. */
+const waitTimeout = 60_000;
 
 /**
- * The waxwingspar command as a process of its own, for tests.
+ * The waxwingspar command in a child process, for tests.
  *
  * @internal
  */
@@ -26,26 +28,26 @@
         this.ended = once(child, "close").then(([code]) => typeof code === "number" ? code : undefined);
     }
 
-    /** Waits for the end. @returns The exit code, undefined if a signal ended it. */
+    /** Waits for the process to exit. @returns The exit code, or undefined if a signal ended the process. */
     end(): Promise<number | undefined> {
         return this.ended;
     }
 
-    /** Asks for a graceful stop and waits for the end. */
+    /** Sends SIGTERM and waits for the process to exit. @returns The exit code. */
     terminate(): Promise<number | undefined> {
         this.child.kill("SIGTERM");
         return this.ended;
     }
 
-    /** Ends the process at once, if it still runs. */
+    /** Sends SIGKILL and waits for the process to exit. */
     async kill(): Promise<void> {
         this.child.kill("SIGKILL");
         await this.ended;
     }
 
-    /** Waits until a URL answers with status 200. */
+    /** Waits until a URL responds with status 200. @throws Error if the process exits first, or after a timeout. */
     async waitFor(url: string): Promise<void> {
-        for (let waited = 0; waited < patience; waited += pollInterval) {
+        for (let waited = 0; waited < waitTimeout; waited += pollInterval) {
             const response = await fetch(url).catch(() => undefined);
             await response?.arrayBuffer();
             if (response?.status === 200) {
@@ -56,6 +58,6 @@
             }
             await delay(pollInterval);
         }
-        throw new Error(`${url} is not there: ${this.output}${this.errors}`);
+        throw new Error(`${url} did not respond with status 200: ${this.output}${this.errors}`);
     }
 }
--- a/packages/cli/src/lib/testing/freePorts.ts
+++ b/packages/cli/src/lib/testing/freePorts.ts
@@ -1,13 +1,13 @@
 import { createServer, type Server } from "node:net";
 
 /**
- * Ports that are tried: above the well-known ones and below those that the operating system gives to outgoing connections (from
- * 32768 on as Linux is set up). A port among the latter may be taken again before the command under test listens on it: with
- * three test files of commands side by side, beside a busy machine, that failed 1 of 36 runs.
+ * The range of candidate ports: above the well-known ports and below those that Linux assigns to outgoing connections
+ * (from 32768 by default). An outgoing connection may take one of the latter before the command under test listens on
+ * it, which failed 1 of 36 runs with three test files of commands running in parallel on a busy machine.
  */
 const range = { first: 10_000, end: 32_000 };
 
-/** Finds ports on 127.0.0.1 that nothing listens on. All are held at the same time, so that none is found twice. @internal */
+/** Finds ports on 127.0.0.1 that are not in use. All are bound at the same time, so that they differ. @internal */
 export async function freePorts(count: number): Promise<number[]> {
     const held = new Map<number, Server>();
     while (held.size < count) {
@@ -21,7 +21,7 @@
     return [...held.keys()];
 }
 
-/** @returns Undefined where the port is in use. */
+/** @returns Undefined if the port is in use. */
 function listen(port: number): Promise<Server | undefined> {
     return new Promise(resolve => {
         const server = createServer();
