--- a/packages/cli/src/lib/demo/formatReport.ts
+++ b/packages/cli/src/lib/demo/formatReport.ts
@@ -2,7 +2,7 @@
 import { type DemoResult } from "./runDemo.js";
 
 /**
- * Renders what a history check found, for people.
+ * Renders the findings of a history check as text.
  *
  * @internal
  */
@@ -20,7 +20,7 @@
 }
 
 /**
- * Renders the outcome of the demo, for people.
+ * Renders the outcome of the demo as text.
  *
  * @internal
  */
--- a/packages/cli/src/lib/demo/runDemo.test.ts
+++ b/packages/cli/src/lib/demo/runDemo.test.ts
@@ -30,7 +30,7 @@
 test("without a spare target the demo fails", async t => {
     const checks = await demoChecks(t, { maxTokens: 40, killAfter: 10, replicas: 1, companions: 0 });
     const failed = checks.filter(check => !check.holds).map(check => check.name);
-    assert.ok(failed.includes("every answer is whole and right"), failed.join());
+    assert.ok(failed.includes("every answer is complete and correct"), failed.join());
     const history = checks.find(check => check.name === "the history holds");
-    assert.ok(history?.holds, `the refusal is honest: ${history?.detail}`);
+    assert.ok(history?.holds, `the history violates a rule: ${history?.detail}`);
 });
--- a/packages/cli/src/lib/demo/runDemo.ts
+++ b/packages/cli/src/lib/demo/runDemo.ts
@@ -18,19 +18,19 @@
     readonly logger: Logger;
     /** An existing folder for the history files. */
     readonly historyFolder: string;
-    /** Takes what is to be shown, as it happens. */
+    /** Prints text while the demo runs. */
     readonly write: (text: string) => void;
-    /** Streams that run beside the one that is shown. Default 5. */
+    /** Streams that run concurrently with the one that is printed. Default 5. */
     readonly companions?: number;
     /** Tokens of each answer, at most. Default 90. */
     readonly maxTokens?: number;
-    /** Pieces of the shown answer after which a stage is killed. Default 20. */
+    /** Pieces of the printed answer after which a stage is killed. Default 20. */
     readonly killAfter?: number;
-    /** Targets for each stage; with 1 there is no spare. Default 2. */
+    /** Targets per stage; with 1 there is no spare. Default 2. */
     readonly replicas?: number;
 }
 
-/** One thing that must hold for the demo to succeed. @internal */
+/** One condition that must hold for the demo to succeed. @internal */
 export interface DemoCheck {
     readonly name: string;
     readonly holds: boolean;
@@ -48,10 +48,10 @@
 const mainPrompt = "The mast of forklift 7 drifts down under load. What should be checked first?";
 
 /**
- * Shows the main job: a three-stage pipeline streams answers, one stage is killed in mid-stream, the streams go on, and
- * the recorded history is checked.
+ * Runs the demo: a three-stage pipeline streams answers, one stage is killed in mid-stream, the streams continue on a
+ * spare target, and the recorded history is checked.
  *
- * @returns What held, or the failure for which the site could not run.
+ * @returns The checks, or the failure that kept the site from running.
  * @internal
  */
 export async function runDemo(options: DemoOptions): Promise<Outcome<DemoResult>> {
@@ -64,8 +64,8 @@
     if (caller.isErr) {
         return Result.err(caller.error);
     }
-    const stream = await streamThroughKill(options, site, caller.value);
-    const runs = await caller.value.publishTwice();
+    const stream = await streamWhileKillingStage(options, site, caller.value);
+    const runs = await caller.value.sendWorkOrderTwice();
     const interrupted = await site.stop();
     const files = [...site.historyFiles, await caller.value.close()];
     const history = await checkHistoryFiles(files, { lost: stream.killed === undefined ? [] : [stream.killed.name] });
@@ -73,26 +73,26 @@
         history: report,
         checks: [
             ...streamChecks(stream),
-            ...publishChecks(runs),
+            ...workOrderChecks(runs),
             check("graceful stop", interrupted === 0, `${interrupted} requests cut off`),
             historyCheck(report),
         ],
     }));
 }
 
-/** What came of the streams around the loss of a stage. */
-interface KilledStream {
+/** The answers of all streams, and the agent that was killed while they ran. */
+interface KillResult {
     readonly answers: readonly CheckedAnswer[];
     readonly killed: SiteAgent | undefined;
-    /** Pieces of the shown answer that came after the kill. */
+    /** Pieces of the printed answer that arrived after the kill. */
     readonly piecesAfter: number;
 }
 
-async function streamThroughKill(
+async function streamWhileKillingStage(
     options: DemoOptions,
     site: LocalSite,
     caller: DemoCaller,
-): Promise<KilledStream> {
+): Promise<KillResult> {
     const { companions = 5, killAfter = 20, write } = options;
     let pieces = 0;
     let killed: SiteAgent | undefined;
@@ -114,12 +114,12 @@
     return { answers, killed, piecesAfter: Math.max(0, pieces - killAfter) };
 }
 
-/** An answer beside what it ought to be. */
+/** An answer with the text that the model should have given. */
 interface CheckedAnswer extends StreamedAnswer {
     readonly expected: string;
 }
 
-/** The callers of the demo, with a history of their own. */
+/** The callers of the demo, with their own history file. */
 class DemoCaller {
     private constructor(
         private readonly options: DemoOptions,
@@ -167,10 +167,10 @@
         return { ...answer, expected };
     }
 
-    /** Sends one work order twice at the same time, as a caller does that lost patience. Returns the runs it was told. */
-    async publishTwice(): Promise<(number | undefined)[]> {
+    /** Sends one work order twice concurrently, like a caller that retries early. @returns The reported run numbers. */
+    async sendWorkOrderTwice(): Promise<(number | undefined)[]> {
         const key = uniqueId();
-        return Promise.all([this.publish(key), this.publish(key)]);
+        return Promise.all([this.sendWorkOrder(key), this.sendWorkOrder(key)]);
     }
 
     async close(): Promise<string> {
@@ -178,7 +178,7 @@
         return this.path;
     }
 
-    private async publish(key: string): Promise<number | undefined> {
+    private async sendWorkOrder(key: string): Promise<number | undefined> {
         const response = await fetch(`${this.origin}/services/records/work-orders`, {
             method: "POST",
             headers: { "Content-Type": "application/json", "Idempotency-Key": key },
@@ -189,17 +189,17 @@
     }
 }
 
-function streamChecks({ answers, killed, piecesAfter }: KilledStream): DemoCheck[] {
+function streamChecks({ answers, killed, piecesAfter }: KillResult): DemoCheck[] {
     const whole = answers.filter(answer => answer.whole && answer.text === answer.expected).length;
     const pause = Math.max(...answers.map(answer => answer.longestPause));
     return [
-        check("a stage was killed in mid-stream", killed !== undefined, killed?.name ?? "no stage was at work"),
-        check("every answer is whole and right", whole === answers.length, `${whole} of ${answers.length}`),
-        check("the stream went on", killed !== undefined && piecesAfter > 0, `longest pause ${Math.round(pause)} ms`),
+        check("a stage was killed in mid-stream", killed !== undefined, killed?.name ?? "no busy agent found"),
+        check("every answer is complete and correct", whole === answers.length, `${whole} of ${answers.length}`),
+        check("the stream continued", killed !== undefined && piecesAfter > 0, `longest pause ${Math.round(pause)} ms`),
     ];
 }
 
-function publishChecks(runs: readonly (number | undefined)[]): DemoCheck[] {
+function workOrderChecks(runs: readonly (number | undefined)[]): DemoCheck[] {
     const told = [...new Set(runs)].filter(run => run !== undefined);
     return [check("a work order sent twice ran once", told.length === 1 && told[0] === 1, `run ${told.join(" and ")}`)];
 }
--- a/packages/cli/src/lib/demo/streamAnswer.ts
+++ b/packages/cli/src/lib/demo/streamAnswer.ts
@@ -10,16 +10,16 @@
     readonly model: string;
     readonly prompt: string;
     readonly maxTokens: number;
-    /** Joins the caller's history with that of the site. */
+    /** Correlates the caller's history with that of the site. */
     readonly requestId: string;
-    /** Runs for each piece of text as it comes. */
+    /** Called for each piece of text as it arrives. */
     readonly onText?: (text: string) => void;
 }
 
-/** What a caller saw of one answer. @internal */
+/** One answer as its caller received it. @internal */
 export interface StreamedAnswer {
     readonly text: string;
-    /** True if the stream ended as a whole answer ends. */
+    /** True if the stream ended with a finish reason and the end mark. */
     readonly whole: boolean;
     readonly pieces: number;
     /** The longest time between two pieces, in milliseconds. */
@@ -33,30 +33,30 @@
 const dataPrefix = "data: ";
 const endMark = "[DONE]";
 
-/** How often a refused request is sent again. A busy machine may refuse a few, since it would answer late. */
+/** Attempts per request. A site on a busy machine may refuse a few requests that it could not answer in time. */
 const maxTries = 10;
 const millisecondsPerSecond = 1000;
 const unavailable = 503;
 
 /**
- * Sends one streamed completion and reads the answer as any caller does. A request that is refused with a time to come
- * back is sent again then.
+ * Sends one streamed completion and reads the answer. A request that is refused with `Retry-After` is sent again after
+ * that time.
  *
  * @internal
  */
 export async function streamAnswer(options: StreamOptions): Promise<StreamedAnswer> {
     const { clock } = options;
-    const response = await sendUntilTaken(options);
+    const response = await sendUntilAccepted(options);
     const reader = new AnswerReader(clock, options.onText ?? (() => undefined));
     if (response.ok && response.body !== null) {
         for await (const line of linesOf(response.body as AsyncIterable<Uint8Array>)) {
-            reader.take(line);
+            reader.readLine(line);
         }
     }
     return reader.answer();
 }
 
-async function sendUntilTaken(options: StreamOptions): Promise<Response> {
+async function sendUntilAccepted(options: StreamOptions): Promise<Response> {
     for (let tries = 1;; tries++) {
         const response = await send(options);
         const retryAfter = Number(response.headers.get("Retry-After"));
@@ -86,7 +86,7 @@
 
     constructor(private readonly clock: Clock, private readonly onText: (text: string) => void) {}
 
-    take(line: string): void {
+    readLine(line: string): void {
         if (!line.startsWith(dataPrefix)) {
             return;
         }
--- a/packages/cli/src/lib/docs/docLinks.test.ts
+++ b/packages/cli/src/lib/docs/docLinks.test.ts
@@ -24,13 +24,13 @@
     return folder;
 }
 
-test("links and paths in all pages lead somewhere, and every page is found", () => {
+test("links and paths in all pages exist, and every page is linked", () => {
     const { status, stdout, faults } = checkDocs(root);
     assert.deepEqual(faults, []);
     assert.equal(status, 0, stdout);
 });
 
-test("a broken link, a path to nothing and a page that nobody links to are found", context => {
+test("a broken link, a path to a missing file and an unlinked page are reported", context => {
     const folder = folderWith(context, {
         "README.md": "[a](docs/ARCHITECTURE.md#part) [b](docs/gone.md) [c](https://example.org/docs/x) [d](#here)",
         "docs/ARCHITECTURE.md":
@@ -48,5 +48,5 @@
         "docs/alone.md: neither README.md nor docs/ARCHITECTURE.md links to it",
         "packages/one/README.md: packages/two does not exist",
     ]);
-    assert.equal(checkDocs(folderWith(context, {})).status, 1, "no pages is no pass");
+    assert.equal(checkDocs(folderWith(context, {})).status, 1, "a folder without pages fails");
 });
--- a/packages/cli/src/lib/docs/metricsPage.test.ts
+++ b/packages/cli/src/lib/docs/metricsPage.test.ts
@@ -8,7 +8,7 @@
 const page = readFileSync(join(root, "docs/METRICS.md"), "utf8");
 const sources = readSources();
 
-/** The code of all packages as one text, without tests, their helpers and comments. */
+/** Returns the code of all packages as one text, without tests, test helpers and comments. */
 function readSources(): string {
     return readdirSync(join(root, "packages"))
         .flatMap(name => filesBelow(join(root, "packages", name, "src")))
@@ -23,12 +23,12 @@
         .map(entry => join(entry.parentPath, entry.name));
 }
 
-/** The first groups of all matches, each once. */
-function found(text: string, pattern: RegExp): string[] {
+/** Returns the distinct first groups of all matches, sorted. */
+function findMatches(text: string, pattern: RegExp): string[] {
     return [...new Set([...text.matchAll(pattern)].map(([, name = ""]) => name))].sort();
 }
 
-/** The rows of the table below a heading, as cells. */
+/** Returns the rows of the table below a heading, as cells. */
 function rowsBelow(heading: string): string[][] {
     const [, section = ""] = page.split(`## ${heading}\n`);
     const [own = ""] = section.split("\n## ");
@@ -40,21 +40,21 @@
 }
 
 test("the page lists exactly the metrics that the code registers", () => {
-    const registered = found(sources, /\.(?:counter|gauge|histogram)\(\{\s*name: "(\w+)"/g);
+    const registered = findMatches(sources, /\.(?:counter|gauge|histogram)\(\{\s*name: "(\w+)"/g);
     assert.ok(registered.length > 10, "the pattern finds the metrics");
     assert.deepEqual(names("Metrics"), registered);
-    // Whatever else the code may call a metric stands in the page too.
-    assert.deepEqual(found(sources, /"(waxwingspar_\w+)"/g), registered);
+    // Every other metric name in the code must be registered too, and therefore listed.
+    assert.deepEqual(findMatches(sources, /"(waxwingspar_\w+)"/g), registered);
 });
 
 test("the page lists exactly the spans and attributes of the code", () => {
-    assert.deepEqual(names("Traces"), found(sources, /\.startSpan\(\s*"([^"]+)"/g));
+    assert.deepEqual(names("Traces"), findMatches(sources, /\.startSpan\(\s*"([^"]+)"/g));
     const attributes = rowsBelow("Traces").map(cells => cells.at(-1) ?? "").join(" ");
-    const set = found(sources, /(?<=setAttribute\(|[{,]\s*)"(waxwingspar\.\w+)"(?=:|,)/g);
-    assert.deepEqual(found(attributes, /`(waxwingspar\.\w+)`/g), set);
+    const set = findMatches(sources, /(?<=setAttribute\(|[{,]\s*)"(waxwingspar\.\w+)"(?=:|,)/g);
+    assert.deepEqual(findMatches(attributes, /`(waxwingspar\.\w+)`/g), set);
 });
 
-test("the page lists exactly the parts that logs begin with", () => {
+test("the page lists exactly the prefixes of log messages", () => {
     const pattern = /\b(?:log|debug|info|warn|error)\((?:\s*\{[^}]*\},?)?\s*["`]([a-z]+): /g;
-    assert.deepEqual(names("Logs"), found(sources, pattern));
+    assert.deepEqual(names("Logs"), findMatches(sources, pattern));
 });
--- a/packages/cli/src/lib/docs/namedTests.test.ts
+++ b/packages/cli/src/lib/docs/namedTests.test.ts
@@ -7,7 +7,7 @@
 const root = fileURLToPath(new URL("../../../../../", import.meta.url));
 const pages = ["README.md", "docs/SECURITY.md"];
 
-/** The text of every test file of a package, or undefined if there is no such package. */
+/** Returns the text of all test files of a package, or undefined if there is no such package. */
 function testFiles(folder: string): string | undefined {
     try {
         return readdirSync(join(root, "packages", folder, "src"), { withFileTypes: true, recursive: true })
--- a/packages/cli/src/lib/docs/operationsPage.test.ts
+++ b/packages/cli/src/lib/docs/operationsPage.test.ts
@@ -4,7 +4,7 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 
-/** The lines and fields that docs/OPERATIONS.md quotes exist in the gateway's code. */
+/** Checks that the log lines and fields that docs/OPERATIONS.md quotes exist in the gateway's code. */
 
 const root = fileURLToPath(new URL("../../../../../", import.meta.url));
 const page = readFileSync(join(root, "docs/OPERATIONS.md"), "utf8");
@@ -18,7 +18,7 @@
         .join("\n");
 }
 
-/** Fields of a log call with a message: the keys of all object literals that are passed with it. */
+/** Returns the field names of the log calls with a message: the keys of the object literals passed with it. */
 function fieldsOf(message: string): string[] {
     const calls = sources.split(/\.(?:info|warn|error)\(/).slice(1);
     const own = calls.filter(call => call.slice(0, call.indexOf(";")).includes(`"${message}"`));
@@ -28,14 +28,14 @@
     });
 }
 
-/** Whether the code holds a message as it is, or a template that gives it. */
+/** Whether the code contains a message literally, or a template that produces it. */
 function isWritten(message: string): boolean {
     const templates = [...sources.matchAll(/`([a-z ]+)\$\{[a-z]+\}`/g)].map(([, start = ""]) => start);
     const isLiteral = sources.includes(`"${message}"`) || sources.includes(`: ${message}"`);
     return isLiteral || templates.some(start => message.startsWith(start));
 }
 
-/** Lines of the page's code blocks, as part, message and field names. */
+/** Log lines in the page's code blocks, as prefix, message and field names. */
 const quotedLines = [...page.matchAll(/^ {4}([a-z]+): ([a-z ]+?) ([a-zA-Z]+=.*)$/gm)]
     .map(([, part = "", message = "", fields = ""]) => ({
         part,
--- a/packages/cli/src/lib/scripts/runTests.test.ts
+++ b/packages/cli/src/lib/scripts/runTests.test.ts
@@ -11,7 +11,7 @@
 const bad = "test('bad, for a reason', () => { throw new Error('bad'); });";
 const listed = "one: bad, for a reason | the clock is wrong | issue 7\n";
 
-/** Runs the script on a package of its own, and returns its exit code and the lines it adds to the runner's. */
+/** Runs the script on a temporary package. @returns Its exit code, and the lines it adds to the runner's output. */
 function runTests(context: TestContext, tests: string, knownRed?: string) {
     const folder = mkdtempSync(join(tmpdir(), "waxwingspar-runs-"));
     context.after(() => rmSync(folder, { recursive: true }));
@@ -20,7 +20,7 @@
     if (knownRed !== undefined) {
         writeFileSync(join(folder, "KNOWN-RED.txt"), knownRed);
     }
-    // A runner that believes it runs inside another one runs no tests.
+    // Node.js runs no tests in a process that it takes for a child of another test runner.
     const env = { ...process.env, NODE_TEST_CONTEXT: undefined };
     const { status, stdout, stderr } = spawnSync(process.execPath, [script], { cwd: folder, env, encoding: "utf8" });
     const lines = stdout.split("\n").filter(line => /^(known red|failed)/.test(line));
@@ -34,17 +34,17 @@
     assert.deepEqual([failing.status, failing.lines], [1, ["failed: one: bad, for a reason"]]);
 });
 
-test("a listed failure is printed and passed over, any other fails the run", context => {
+test("a listed failure is printed and ignored, and any other failure fails the run", context => {
     const over = runTests(context, good + bad, listed);
     const told = "known red, passed over: one: bad, for a reason (the clock is wrong; issue 7)";
     assert.deepEqual([over.status, over.lines], [0, [told]]);
     const other = runTests(context, `${bad}test("worse", () => { throw new Error("worse"); });`, listed);
     assert.deepEqual([other.status, other.lines], [1, [told, "failed: one: worse"]]);
     const broken = runTests(context, `${bad}process.nextTick(() => process.exit(9));`, listed);
-    assert.equal(broken.status, 1, "a file that ends early is no listed test");
+    assert.equal(broken.status, 1, "a file that exits early is not covered by a listed test");
 });
 
-test("a file that fails behind its listed test fails the run", context => {
+test("a file that fails after its listed test fails the run", context => {
     const late = [
         "setTimeout(() => { throw new Error('late'); }, 50);",
         "process.on('exit', () => { process.exitCode = 9; });",
@@ -54,7 +54,7 @@
     assert.deepEqual(late.map(fault => runTests(context, bad + fault, listed).status), [1, 1, 1, 1]);
 });
 
-test("a listed test that passes is told, and one that was skipped or is gone fails the run", context => {
+test("a listed test that passes is reported, and one that was skipped or is missing fails the run", context => {
     const passing = runTests(context, "test('bad, for a reason', () => undefined);", listed);
     const told = "known red, but it passes; remove it from the list: one: bad, for a reason";
     assert.deepEqual([passing.status, passing.lines], [0, [told]]);
