--- a/packages/cli/src/lib/operator/OperatorClient.ts
+++ b/packages/cli/src/lib/operator/OperatorClient.ts
@@ -11,9 +11,12 @@
 import { request } from "undici";
 import { z } from "zod";
 
-const attempts = 4;
-const firstPause = 250;
+const maxAttempts = 4;
+/** Milliseconds; the back-off after the n-th attempt is this value times 2 to the power of n. */
+const backoffBase = 250;
+/** Milliseconds until the head of an answer must have arrived. */
 const answerTimeout = 30_000;
+/** Characters that are kept of an incomplete line. */
 const maxLine = 8 * 1024 * 1024;
 
 /** @internal */
@@ -33,13 +36,13 @@
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** One failure that the API reported. @internal */
+/** A failure that the API reported. @internal */
 export interface ApiFailure extends Failure {
     /** The resource at fault, as `kind/name`. */
     readonly resource?: string;
 }
 
-/** What the API answered: a body, or every failure. @internal */
+/** The API's answer: a body, or all failures. @internal */
 export type ApiReply = Result<unknown, readonly ApiFailure[]>;
 
 const errorsSchema = z.object({
@@ -53,7 +56,7 @@
 });
 
 /**
- * Talks to the resource API of one process.
+ * Client of the resource API of one process.
  *
  * @internal
  */
@@ -61,20 +64,20 @@
     constructor(private readonly options: OperatorClientOptions) {}
 
     /**
-     * Sends a request, and sends it again when it was lost on the way or the store failed. The caller gives changes an
-     * `idempotency-key`, so that none is applied twice.
+     * Sends a request, and retries it if the connection or the store failed. Callers add an `idempotency-key` to
+     * changes, so that none is applied twice.
      */
     async send(asked: OperatorRequest): Promise<ApiReply> {
         for (let attempt = 1;; attempt++) {
             const reply = await this.sendOnce(asked);
-            if (reply.isOk || attempt === attempts || !reply.error.every(isTemporary)) {
+            if (reply.isOk || attempt === maxAttempts || !reply.error.every(isTemporary)) {
                 return reply;
             }
-            await sleep(this.options.clock, firstPause * 2 ** attempt);
+            await sleep(this.options.clock, backoffBase * 2 ** attempt);
         }
     }
 
-    /** Reads lines of JSON until the API ends them or the signal aborts. */
+    /** Reads lines of JSON until the API ends the response or the signal aborts. */
     async *lines(path: string, signal?: AbortSignal): AsyncGenerator<Outcome<string>> {
         const { server } = this.options;
         let rest = "";
@@ -131,7 +134,7 @@
 function readFailures(text: string): ApiFailure[] {
     const parsed = errorsSchema.safeParse(parseJson(text));
     if (!parsed.success) {
-        return [failure(transportCodes.protocolViolation, "the server did not answer like the resource API")];
+        return [failure(transportCodes.protocolViolation, "the response does not have the form of the resource API")];
     }
     return parsed.data.errors.map(({ code, message, path, resource, retryAfter }) => ({
         ...failure(findResultCode(code) ?? transportCodes.protocolViolation, message, { path, retryAfter }),
@@ -148,7 +151,7 @@
     }
 }
 
-/** Nothing is known of a request that got no answer, so it counts as lost on the way. */
+/** Reports a request without an answer as a lost connection, since it is unknown whether the API executed it. */
 function unreachable(server: string, error: unknown): Failure {
     const reason = error instanceof Error ? error.message : "no answer";
     return failure(transportCodes.connectionLost, `${server}: ${reason}`);
--- a/packages/cli/src/lib/operator/OperatorContext.ts
+++ b/packages/cli/src/lib/operator/OperatorContext.ts
@@ -3,16 +3,17 @@
 import { type OperatorClient } from "./OperatorClient.js";
 import { operatorExitCodes } from "./operatorExitCodes.js";
 
-/** How a verb prints what it found. @internal */
+/** The output format of a verb. @internal */
 export type OutputFormat = "table" | "json";
 
-/** What each verb works with. @internal */
+/** What each verb needs to run. @internal */
 export interface OperatorContext {
     readonly client: OperatorClient;
     readonly output: CommandOutput;
     readonly format: OutputFormat;
 }
 
+/** Failures after which it is unknown whether a change was applied. */
 const unknownCodes: readonly ResultCode[] = [
     transportCodes.connectionLost,
     platformCodes.storeUnknown,
--- a/packages/cli/src/lib/operator/apiAnswers.ts
+++ b/packages/cli/src/lib/operator/apiAnswers.ts
@@ -6,8 +6,8 @@
     hostsBehind: z.object({ count: z.number(), names: z.array(z.string()) }),
 });
 
-/** A resource as the API shows it. @internal */
-export const shownResourceSchema = z.object({
+/** A resource as the API returns it. @internal */
+export const apiResourceSchema = z.object({
     kind: z.string(),
     name: z.string(),
     resourceVersion: z.number(),
@@ -15,10 +15,10 @@
     status: statusSchema.optional(),
 });
 
-export type ShownResource = z.infer<typeof shownResourceSchema>;
+export type ApiResource = z.infer<typeof apiResourceSchema>;
 
 /** @internal */
-export const resourceListSchema = z.object({ revision: z.number(), items: z.array(shownResourceSchema) });
+export const resourceListSchema = z.object({ revision: z.number(), items: z.array(apiResourceSchema) });
 
 /** The answer to a change. @internal */
 export const changeAnswerSchema = z.object({
@@ -51,7 +51,7 @@
 
 export type SiteStatus = z.infer<typeof siteStatusSchema>;
 
-/** A line of a watch. @internal */
+/** A line of a watch response. @internal */
 export const watchLineSchema = z.object({
     type: z.enum(["set", "removed", "bookmark", "error"]),
     revision: z.number().optional(),
--- a/packages/cli/src/lib/operator/changeCommands.ts
+++ b/packages/cli/src/lib/operator/changeCommands.ts
@@ -78,7 +78,7 @@
     return answer.isErr ? answer.error : printChange(context, answer.value);
 }
 
-/** Sends a change under an id of its own, so that sending it again is harmless. */
+/** Sends a change with a unique idempotency key, so that a retry does not apply it twice. */
 async function sendChange(context: OperatorContext, asked: OperatorRequest): Promise<Result<ChangeAnswer, number>> {
     const headers = { ...asked.headers, "idempotency-key": uniqueId() };
     const reply = await context.client.send({ ...asked, headers });
--- a/packages/cli/src/lib/operator/formatTable.ts
+++ b/packages/cli/src/lib/operator/formatTable.ts
@@ -1,7 +1,7 @@
 const gap = "  ";
 
 /**
- * Lays rows out in columns, under a line of titles.
+ * Formats rows as aligned columns below a line of titles.
  *
  * @internal
  */
--- a/packages/cli/src/lib/operator/operatorExitCodes.ts
+++ b/packages/cli/src/lib/operator/operatorExitCodes.ts
@@ -4,11 +4,11 @@
  * @public
  */
 export const operatorExitCodes = {
-    /** Done; for `diff`, nothing differs; for `status`, everything is in force. */
+    /** Success; for `diff`, nothing differs; for `status`, everything is in force. */
     done: 0,
-    /** The API refused, or with `status` something is not in force yet. */
+    /** The API refused the request, or for `status`, something is not in force yet. */
     refused: 1,
-    /** The command line or a file is wrong; nothing was sent. */
+    /** The command line or a file is invalid; nothing was sent. */
     usage: 2,
     /** `diff` found differences. */
     differs: 3,
--- a/packages/cli/src/lib/operator/operatorVerbs.test.ts
+++ b/packages/cli/src/lib/operator/operatorVerbs.test.ts
@@ -38,7 +38,7 @@
     return { run: (...words: string[]) => runVerb(server, words), file, behind, state, server };
 }
 
-/** @param until - Ends a watch as soon as this was written. */
+/** @param until - The watch ends as soon as the output matches this pattern. */
 async function runVerb(server: string, words: readonly string[], until?: RegExp) {
     const written = { output: "", errors: "", code: -1 };
     const program = new Command().exitOverride();
@@ -60,7 +60,7 @@
     return written;
 }
 
-test("files are applied as one change, shown, compared and removed", async t => {
+test("files are applied as one change, and their resources are shown, compared and removed", async t => {
     const { run, file, state } = await setUp(t);
     const all = await file("all.jsonc", `[${service}, ${organisation}]`);
     const applied = await run("apply", "-f", all);
@@ -82,7 +82,7 @@
     assert.equal((await run("delete", "service", "s")).code, 0);
 });
 
-test("what get prints can be edited and applied, and a race is a conflict", async t => {
+test("the output of get can be edited and applied, and a concurrent change is a conflict", async t => {
     const { run, file } = await setUp(t);
     await run("apply", "-f", await file("s.jsonc", service));
     const { output } = await run("get", "service", "s", "-o", "json");
@@ -92,7 +92,7 @@
     assert.deepEqual([late.code, /error 3007 conflict/.test(late.errors)], [4, true]);
 });
 
-/** Each row: what is wrong, the file's text, the exit code and what is reported. */
+/** Each row: the problem, the file's text, the exit code and the expected report. */
 const badFiles: readonly [string, string, number, RegExp][] = [
     ["text that is not JSON", `{ "kind": `, 2, /error 3000 invalid-syntax .*bad\.jsonc\): line 1/],
     [
@@ -121,7 +121,7 @@
     });
 }
 
-test("a missing file, a missing server and a wrong token are told apart", async t => {
+test("a missing file, an unreachable server and a wrong token have different exit codes", async t => {
     const { run, file } = await setUp(t, { allowAnonymous: false });
     assert.equal((await run("apply", "-f", "/nonexistent.jsonc")).code, 2);
     assert.equal((await run("get", "--token-file", "/nonexistent")).code, 2);
@@ -130,7 +130,7 @@
     assert.equal((await runVerb("http://127.0.0.1:1", ["get"])).code, 5);
 });
 
-test("status names the hosts behind and its exit code tells", async t => {
+test("status lists the hosts behind and exits with 1 while there are any", async t => {
     const good = await setUp(t);
     assert.equal((await good.run("status")).code, 0);
     const { run, behind } = await setUp(t);
@@ -139,7 +139,7 @@
     assert.deepEqual([late.code, /late-host +3/.test(late.output)], [1, true]);
 });
 
-test("a change whose answer was lost is sent again under the same key", async t => {
+test("a change whose answer was lost is retried with the same idempotency key", async t => {
     const keys: (string | undefined)[] = [];
     const server = createServer((message, response) => {
         keys.push(message.headers["idempotency-key"] as string | undefined);
@@ -159,7 +159,7 @@
     assert.notEqual(keys[0], undefined);
 });
 
-test("a watch shows changes as they come", async t => {
+test("a watch shows changes as they arrive", async t => {
     const { run, file, server } = await setUp(t);
     await run("apply", "-f", await file("s.jsonc", service));
     const watching = runVerb(server, ["watch", "service", "--revision", "0"], /2 removed service\/s\n$/);
@@ -168,7 +168,7 @@
     assert.deepEqual([ended.code, ended.output], [0, "1 set service/s\n2 removed service/s\n"]);
 });
 
-/** A clock on which every wait is over at once. */
+/** Creates a clock on which every wait ends immediately. */
 function instantClock() {
     const clock = new ManualClock();
     const schedule = (callback: () => void, delay: number) => {
--- a/packages/cli/src/lib/operator/readCommands.ts
+++ b/packages/cli/src/lib/operator/readCommands.ts
@@ -1,8 +1,8 @@
 import { type Clock, sleep } from "@waxwingspar/utils";
 import {
+    type ApiResource,
+    apiResourceSchema,
     resourceListSchema,
-    type ShownResource,
-    shownResourceSchema,
     type SiteStatus,
     siteStatusSchema,
     watchLineSchema,
@@ -11,12 +11,13 @@
 import { type OperatorContext, printJson, reportFailures } from "./OperatorContext.js";
 import { operatorExitCodes } from "./operatorExitCodes.js";
 
+/** Milliseconds between two reads of the status. */
 const waitInterval = 500;
-const shownBehind = 10;
-const longestSummary = 60;
+const maxHostsShown = 10;
+const maxSummaryLength = 60;
 
 /**
- * Shows all resources, those of a kind, or one.
+ * Shows all resources, those of one kind, or a single one.
  *
  * @returns The exit code.
  * @internal
@@ -34,22 +35,22 @@
     }
     const items = name === undefined
         ? resourceListSchema.parse(reply.value).items
-        : [shownResourceSchema.parse(reply.value)];
+        : [apiResourceSchema.parse(reply.value)];
     output.write(formatTable(["RESOURCE", "VERSION", "IN FORCE", "SPEC"], items.map(resourceRow)));
     return operatorExitCodes.done;
 }
 
 /** @internal */
 export interface StatusOptions {
-    /** True to come back only when everything is in force, or the time is up. */
+    /** Whether to wait until everything is in force or the timeout has passed. */
     readonly wait: boolean;
-    /** Milliseconds to wait at most. */
+    /** The maximum wait in milliseconds. */
     readonly timeout: number;
     readonly clock: Clock;
 }
 
 /**
- * Tells whether what was accepted is in force, and which hosts are behind.
+ * Shows whether the accepted configuration is in force, and which hosts are behind.
  *
  * @returns The exit code: `refused` while some host is behind.
  * @internal
@@ -77,14 +78,14 @@
 /** @internal */
 export interface WatchOptions {
     readonly kind?: string;
-    /** Changes after this revision are shown; absent for those from now on. */
+    /** Changes after this revision are shown; if absent, only new changes. */
     readonly revision?: number;
     /** Ends the watch. */
     readonly signal?: AbortSignal;
 }
 
 /**
- * Shows each change as it comes in force at the process that answers.
+ * Shows each change as it comes into force at the process that serves the API.
  *
  * @returns The exit code.
  * @internal
@@ -118,15 +119,15 @@
     return operatorExitCodes.done;
 }
 
-function resourceRow({ kind, name, resourceVersion, spec, status }: ShownResource): string[] {
+function resourceRow({ kind, name, resourceVersion, spec, status }: ApiResource): string[] {
     const inForce = status === undefined ? "" : status.inForce ? "yes" : `no, ${status.hostsBehind.count} behind`;
     return [`${kind}/${name}`, resourceVersion.toString(), inForce, summarise(spec)];
 }
 
-/** The first fields of a spec, as many as fit. */
+/** Formats the fields of a spec on one line, truncated to the maximum length. */
 function summarise(spec: Readonly<Record<string, unknown>>): string {
     const text = Object.entries(spec).map(([key, value]) => `${key}=${JSON.stringify(value)}`).join(" ");
-    return text.length <= longestSummary ? text : `${text.slice(0, longestSummary - 3)}...`;
+    return text.length <= maxSummaryLength ? text : `${text.slice(0, maxSummaryLength - 3)}...`;
 }
 
 function printStatus({ output }: OperatorContext, status: SiteStatus, format: OperatorContext["format"]): void {
@@ -144,7 +145,7 @@
     ];
     output.write(formatTable(["ACCEPTED", "IN FORCE", "HOSTS", "BEHIND", "STORE READ"], [row]));
     if (hostsBehind.count > 0) {
-        const rows = hostsBehind.hosts.slice(0, shownBehind).map((
+        const rows = hostsBehind.hosts.slice(0, maxHostsShown).map((
             { process, revision },
         ) => [process, revision?.toString() ?? "not heard of"]);
         output.write("\n" + formatTable(["HOST BEHIND", "REVISION"], rows));
--- a/packages/cli/src/lib/operator/readResourceFiles.ts
+++ b/packages/cli/src/lib/operator/readResourceFiles.ts
@@ -6,7 +6,7 @@
 
 const listSchema = z.strictObject({ resources: z.array(z.unknown()) });
 
-/** Something wrong in a file. @internal */
+/** A problem in a file. @internal */
 export interface FileFailure extends Failure {
     readonly file: string;
     /** The resource at fault, as `kind/name`. */
@@ -15,7 +15,7 @@
 
 /**
  * Reads resources from files of JSON with comments. A file holds one resource, a list of them, or an object with a list
- * under `resources`. Their form is checked here, before anything is sent.
+ * under `resources`. They are validated here, before anything is sent.
  *
  * @internal
  */
--- a/packages/cli/src/lib/operator/registerOperatorCommands.ts
+++ b/packages/cli/src/lib/operator/registerOperatorCommands.ts
@@ -30,19 +30,19 @@
 }
 
 /**
- * Adds the verbs with which operators use the resource API: get, apply, diff, delete, status and watch.
+ * Registers the verbs with which operators use the resource API: get, apply, diff, delete, status and watch.
  *
  * @internal
  */
 export function registerOperatorCommands(program: Command, options: OperatorCommandOptions = {}): void {
-    const setup = { ...defaults(), ...options };
+    const setup = { ...createDefaults(), ...options };
     addReadVerbs(program, setup);
     addChangeVerbs(program, setup);
 }
 
 type Setup = Required<Omit<OperatorCommandOptions, "signal">> & Pick<OperatorCommandOptions, "signal">;
 
-function defaults(): Setup {
+function createDefaults(): Setup {
     return {
         output: {
             write: text => void process.stdout.write(text),
@@ -57,13 +57,13 @@
 }
 
 function addReadVerbs(program: Command, setup: Setup): void {
-    verb(program, "get [kind] [name]", "show resources, with whether they are in force")
+    addVerb(program, "get [kind] [name]", "show resources, and whether they are in force")
         .action((kind: string | undefined, name: string | undefined, options: CommonOptions) =>
             run(setup, options, context => getCommand(context, kind, name))
         );
-    verb(program, "status", "tell whether all that was accepted is in force, and which hosts are behind")
-        .option("--wait", "come back when everything is in force", false)
-        .option("--timeout <seconds>", "wait at most so long", wholeNumber, 10)
+    addVerb(program, "status", "show whether the accepted configuration is in force, and which hosts are behind")
+        .option("--wait", "wait until everything is in force", false)
+        .option("--timeout <seconds>", "the longest wait", parseWholeNumber, 10)
         .action((options: CommonOptions & { wait: boolean; timeout: number; }) => {
             const timeout = options.timeout * millisecondsPerSecond;
             return run(
@@ -72,8 +72,8 @@
                 context => statusCommand(context, { wait: options.wait, timeout, clock: setup.clock }),
             );
         });
-    verb(program, "watch [kind]", "show each change as it comes")
-        .option("--revision <revision>", "begin after this revision instead of now", wholeNumber)
+    addVerb(program, "watch [kind]", "show each change as it comes into force")
+        .option("--revision <revision>", "start after this revision instead of now", parseWholeNumber)
         .action((kind: string | undefined, options: CommonOptions & { revision?: number; }) =>
             run(
                 setup,
@@ -84,26 +84,26 @@
 }
 
 function addChangeVerbs(program: Command, setup: Setup): void {
-    verb(program, "apply", "create or change the resources of files, all or none")
+    addVerb(program, "apply", "create or change all resources of the files, or none")
         .requiredOption("-f, --file <file...>", "files of JSON with comments, one or more resources each")
-        .option("--dry-run", "check everything, and write nothing", false)
+        .option("--dry-run", "check everything, but write nothing", false)
         .action((options: CommonOptions & { file: string[]; dryRun: boolean; }) =>
             run(setup, options, context => applyCommand(context, options.file, options.dryRun))
         );
-    verb(program, "diff", "show what applying files would change")
+    addVerb(program, "diff", "show what applying files would change")
         .requiredOption("-f, --file <file...>", "files of JSON with comments, one or more resources each")
         .action((options: CommonOptions & { file: string[]; }) =>
             run(setup, options, context => diffCommand(context, options.file))
         );
-    verb(program, "delete <kind> <name>", "remove a resource that nothing refers to")
-        .option("--version <version>", "only if it has this version", wholeNumber)
-        .option("--dry-run", "check everything, and write nothing", false)
+    addVerb(program, "delete <kind> <name>", "remove a resource that no other resource refers to")
+        .option("--version <version>", "only if it has this version", parseWholeNumber)
+        .option("--dry-run", "check everything, but write nothing", false)
         .action((kind: string, name: string, options: CommonOptions & { version?: number; dryRun: boolean; }) =>
             run(setup, options, context => deleteCommand(context, kind, name, options))
         );
 }
 
-function verb(program: Command, usage: string, description: string): Command {
+function addVerb(program: Command, usage: string, description: string): Command {
     return program.command(usage)
         .description(description)
         .option("--server <url>", `where the API listens; else WAXWINGSPAR_SERVER, else ${defaultServer}`)
@@ -141,10 +141,10 @@
     }
 }
 
-function wholeNumber(text: string): number {
+function parseWholeNumber(text: string): number {
     const number = Number(text);
     if (!Number.isSafeInteger(number) || number < 0) {
-        throw new InvalidArgumentError("A whole number is needed.");
+        throw new InvalidArgumentError("expected a whole number");
     }
     return number;
 }
--- a/packages/cli/src/lib/operators/OperatorsServer.ts
+++ b/packages/cli/src/lib/operators/OperatorsServer.ts
@@ -11,11 +11,11 @@
     /** Where operators connect. */
     readonly listen: Address;
     readonly registry: MetricRegistry;
-    /** Whether the process does its work. */
+    /** Whether the process is ready to serve. */
     readonly ready: () => boolean;
 }
 
-/** Milliseconds for a whole request of an operator to arrive. */
+/** Milliseconds within which an operator's request must have arrived completely. */
 const requestTimeout = 30_000;
 const maxHeaderSize = 16_384;
 
@@ -35,7 +35,7 @@
         });
     }
 
-    /** Starts to listen. @returns The address, or why it cannot be used. */
+    /** Starts to listen. @returns The address, or the reason why the server cannot listen on it. */
     listen(): Promise<Outcome<Address>> {
         const { host, port } = this.options.listen;
         return new Promise(resolve => {
--- a/packages/cli/src/lib/operators/createMetricsHandler.ts
+++ b/packages/cli/src/lib/operators/createMetricsHandler.ts
@@ -1,7 +1,7 @@
 import { type MetricRegistry } from "@waxwingspar/telemetry";
 import { type IncomingMessage, type ServerResponse } from "node:http";
 
-/** Creates the answer to /metrics. @internal */
+/** Creates the request handler of /metrics. @internal */
 export function createMetricsHandler(
     registry: MetricRegistry,
 ): (message: IncomingMessage, response: ServerResponse) => void {
--- a/packages/cli/src/lib/settings/common.ts
+++ b/packages/cli/src/lib/settings/common.ts
@@ -60,7 +60,7 @@
 
 const loopback = /^(127\.|::1$)/;
 
-/** Plaintext links are refused beyond loopback. @internal */
+/** Rejects settings with plaintext links on an address other than loopback. @internal */
 export function checkPlaintext(
     settings: { credentials: z.infer<typeof linkCredentialsSchema>; links: z.infer<typeof addressSchema>; },
     context: z.RefinementCtx,
--- a/packages/cli/src/lib/settings/loadSettings.test.ts
+++ b/packages/cli/src/lib/settings/loadSettings.test.ts
@@ -16,10 +16,10 @@
     platform: { origin: "http://127.0.0.1:9000" },
 };
 
-/** The message for settings that must fail. */
+/** Returns the error message for settings that must be rejected. */
 function messageFor(change: object): string {
     const parsed = parseSettings(JSON.stringify({ ...entry, ...change }), "site/entry.jsonc");
-    assert.ok(parsed.isErr, "the settings pass");
+    assert.ok(parsed.isErr, "the settings are accepted");
     assert.equal(parsed.error.code, resourceCodes.invalidSettings);
     return parsed.error.message;
 }
@@ -55,7 +55,7 @@
     }
 });
 
-test("a line is that of the setting, and every problem is listed", () => {
+test("each problem is listed with the line of its setting", () => {
     const message = messageFor({ name: 3, region: 4 });
     assert.deepEqual(message.split("\n").length, 2);
     const text = JSON.stringify({ ...entry, region: 4 }, undefined, 4);
@@ -63,25 +63,25 @@
     assert.ok(parsed.isErr && parsed.error.message.startsWith("entry.jsonc:5: region:"), "line of the field");
 });
 
-test("a field that is set twice is refused", () => {
+test("a duplicate field is rejected", () => {
     const text = JSON.stringify(entry).replace("{", "{\"name\": \"other\",");
     const parsed = parseSettings(text, "entry.jsonc");
     assert.equal(parsed.isErr && parsed.error.message, "entry.jsonc:1: name: set twice");
 });
 
-test("broken syntax names the line", () => {
+test("a syntax error names the line", () => {
     const parsed = parseSettings("{\n  \"role\": \"entry\",\n  \"name\" \"x\"\n}", "entry.jsonc");
     assert.equal(parsed.isErr && parsed.error.code, resourceCodes.invalidSyntax);
     assert.ok(parsed.isErr && parsed.error.message.startsWith("entry.jsonc:3: expected JSON with comments"));
     assert.ok(parseSettings("", "entry.jsonc").isErr);
 });
 
-test("a file for another role is refused", () => {
+test("a file for another role is rejected", () => {
     const parsed = parseSettings(JSON.stringify(entry), "entry.jsonc", "agent");
     assert.equal(parsed.isErr && parsed.error.message, "entry.jsonc:1: role: expected \"agent\"");
 });
 
-test("every example holds", () => {
+test("every example file is valid", () => {
     const folder = new URL("../../../examples/", import.meta.url);
     const files = readdirSync(folder).filter(file => file.endsWith(".jsonc"));
     assert.ok(files.length >= 5);
--- a/packages/cli/src/lib/settings/loadSettings.ts
+++ b/packages/cli/src/lib/settings/loadSettings.ts
@@ -31,8 +31,8 @@
 /**
  * Reads a settings file and checks it.
  *
- * @param role - The role that the file must be for; absent takes the one that the file names.
- * @returns The settings with their defaults; `invalidSyntax` or `invalidSettings` with a line for each problem, which
+ * @param role - The role that the file must name; if absent, any role is accepted.
+ * @returns The settings with their defaults; or `invalidSyntax` or `invalidSettings` with one line per problem, which
  * names file, line, path and what was expected.
  * @internal
  */
@@ -62,7 +62,7 @@
         const lines = problems.map(({ node, message }) => `${path}:${lineAt(text, node.offset)}: ${message}`);
         return Result.err(failure(resourceCodes.invalidSettings, lines.join("\n")));
     }
-    // The schema of the role has just checked the value.
+    // The schema of the role has validated the value above.
     return Result.ok(checked.data as Settings<R>);
 }
 
@@ -98,7 +98,7 @@
         case "invalid_union":
             return describeUnion(issue.errors, path, root) ?? [problem(path, issue.message)];
         case "invalid_type":
-            return [problem(path, `expected ${issue.expected}, found ${nameOf(valueAt(root, path))}`)];
+            return [problem(path, `expected ${issue.expected}, found ${describeType(valueAt(root, path))}`)];
         case "invalid_value":
             return [problem(path, `expected ${issue.values.map(value => JSON.stringify(value)).join(" or ")}`)];
         default:
@@ -106,7 +106,7 @@
     }
 }
 
-/** The problems of the alternative that fits best: the one with the fewest. */
+/** Returns the problems of the alternative with the fewest problems, among those with problems in nested fields. */
 function describeUnion(
     alternatives: readonly (readonly Issue[])[],
     path: readonly PropertyKey[],
@@ -125,14 +125,14 @@
     return path.reduce<unknown>((value, key) => (value as Record<PropertyKey, unknown> | undefined)?.[key], root);
 }
 
-function nameOf(value: unknown): string {
+function describeType(value: unknown): string {
     if (value === undefined) {
         return "nothing";
     }
     return value === null ? "null" : Array.isArray(value) ? "array" : typeof value;
 }
 
-/** The node at a path, or the closest one around it. */
+/** Returns the node at a path, or its closest existing ancestor. */
 function closestNode(tree: Node, path: readonly PropertyKey[]): Node {
     for (let length = path.length; length > 0; length--) {
         const node = findNodeAtLocation(tree, path.slice(0, length).map(key => typeof key === "symbol" ? "" : key));
--- a/packages/cli/src/lib/settings/renderReference.ts
+++ b/packages/cli/src/lib/settings/renderReference.ts
@@ -8,7 +8,7 @@
     engine: "`waxwingspar engine FILE`: a fake engine for trials",
 };
 
-/** The part of JSON Schema that the schemas of settings make use of. */
+/** The subset of JSON Schema that the settings schemas use. */
 interface JsonSchema {
     readonly type?: string;
     readonly description?: string;
--- a/packages/cli/src/lib/settings/standInSettings.ts
+++ b/packages/cli/src/lib/settings/standInSettings.ts
@@ -18,7 +18,7 @@
     adapters: z.array(nameSchema).default([]).describe("Adapters that are loaded for it."),
 });
 
-/** Settings of the platform's stand-ins. @internal */
+/** Settings of the in-memory stand-ins for the platform's services. @internal */
 export const platformSettingsSchema = z.strictObject({
     role: z.literal("platform").describe("What the process is."),
     port: z.number().int().min(0).max(65_535).describe("The port on 127.0.0.1 where the stand-ins answer over HTTP."),
