--- a/packages/cli/src/lib/daemons/AgentDaemon.ts
+++ b/packages/cli/src/lib/daemons/AgentDaemon.ts
@@ -4,8 +4,8 @@
 import { type Outcome } from "@waxwingspar/utils";
 import { Result } from "true-myth";
 import { AgentNode } from "../nodes/AgentNode.js";
-import { ConfigurationComponent } from "../nodes/ConfigurationPart.js";
-import { ControlComponent } from "../nodes/ControlPart.js";
+import { ConfigurationComponent } from "../nodes/ConfigurationComponent.js";
+import { ControlComponent } from "../nodes/ControlComponent.js";
 import { createAgentMetrics } from "../nodes/metrics.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { OperatorsServer } from "../operators/OperatorsServer.js";
@@ -48,7 +48,7 @@
             slots: settings.slots,
             service: settings.service,
             readFence: () => readFence(store, ordersDuty(settings.dataCentre)),
-            writeLeftClaims: left => finalClaims.write(left),
+            writeFinalClaims: left => finalClaims.write(left),
             metrics: createAgentMetrics(registry),
         });
         const { agent } = this.node;
--- a/packages/cli/src/lib/daemons/EntryDaemon.ts
+++ b/packages/cli/src/lib/daemons/EntryDaemon.ts
@@ -12,15 +12,15 @@
 import { type EntryPart } from "@waxwingspar/policy";
 import { type Outcome } from "@waxwingspar/utils";
 import { Result } from "true-myth";
-import { ConfigurationComponent } from "../nodes/ConfigurationPart.js";
-import { ControlComponent } from "../nodes/ControlPart.js";
+import { ConfigurationComponent } from "../nodes/ConfigurationComponent.js";
+import { ControlComponent } from "../nodes/ControlComponent.js";
 import { EntryNode } from "../nodes/EntryNode.js";
 import { createClaimRecoveryObserver, createEntryMetrics } from "../nodes/metrics.js";
 import { ProcessLinks } from "../nodes/ProcessLinks.js";
 import { createMetricsHandler } from "../operators/createMetricsHandler.js";
 import { type Settings } from "../settings/loadSettings.js";
 import { type DaemonBase } from "./DaemonBase.js";
-import { findEntryPart } from "./entryPartOf.js";
+import { findEntryPart } from "./findEntryPart.js";
 
 /**
  * The entry process: connects settings, clock and sockets to the library classes.
@@ -83,7 +83,7 @@
             callers: settings.callers,
             configuration: this.part.node,
             claims: this.claims,
-            findLeft: claim => finalClaims.find(claim),
+            findFinalOutcome: claim => finalClaims.find(claim),
             anonymousOrganisation: settings.anonymousOrganisation,
             part: () => this.entryPart,
             limits: settings.limits,
--- a/packages/cli/src/lib/daemons/entryPartOf.test.ts
+++ b/packages/cli/src/lib/daemons/findEntryPart.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { findEntryPart } from "./entryPartOf.js";
+import { findEntryPart } from "./findEntryPart.js";
 
 test("entries that list each other in any order get different shares", () => {
     const parts = [
--- a/packages/cli/src/lib/nodes/AgentNode.ts
+++ b/packages/cli/src/lib/nodes/AgentNode.ts
@@ -19,7 +19,7 @@
     /** Reads the highest fence ever issued for this target from the store. */
     readonly readFence?: () => Promise<Outcome<number>>;
     /** Stores the final outcomes of the claims of an agent that has left. */
-    readonly writeLeftClaims?: WriteFinalClaims;
+    readonly writeFinalClaims?: WriteFinalClaims;
     readonly metrics?: AgentMetrics;
     readonly settings?: Partial<AgentSettings>;
 }
@@ -45,7 +45,7 @@
             queue: createWorkQueue({ clock, slots: options.slots }),
             service: options.service,
             readFence: options.readFence,
-            writeFinalClaims: options.writeLeftClaims,
+            writeFinalClaims: options.writeFinalClaims,
             record: options.record,
             clock,
             log: logger,
--- a/packages/cli/src/lib/nodes/ControlPart.ts
+++ b/packages/cli/src/lib/nodes/ControlComponent.ts
@@ -2,7 +2,7 @@
 import { DutyRunner, LinkTargetPort, PlacementStore, SiteDuty } from "@waxwingspar/control";
 import { type TableStore } from "@waxwingspar/stores";
 import { type LinkPool } from "@waxwingspar/transport";
-import { type ConfigurationComponent } from "./ConfigurationPart.js";
+import { type ConfigurationComponent } from "./ConfigurationComponent.js";
 import { type NodeOptions } from "./NodeOptions.js";
 
 /** @internal */
--- a/packages/cli/src/lib/nodes/EntryNode.ts
+++ b/packages/cli/src/lib/nodes/EntryNode.ts
@@ -21,7 +21,7 @@
     readonly configuration: Configuration;
     readonly claims: Claims;
     /** Looks up the final outcome of a claim whose runner has left. */
-    readonly findLeft?: FindFinalOutcome;
+    readonly findFinalOutcome?: FindFinalOutcome;
     /** The organisation for which callers without a credential act. */
     readonly anonymousOrganisation?: string;
     /** This entry's index among the live entries, and their number; by default it is the only one. */
@@ -59,7 +59,7 @@
             organisationLimits: createOrganisationLimits({ clock, part: options.part }),
             random,
             claims: options.claims,
-            findFinalOutcome: options.findLeft,
+            findFinalOutcome: options.findFinalOutcome,
             clock,
             logger,
             history: options.record,
