--- a/packages/history/src/lib/HistoryEvent.ts
+++ b/packages/history/src/lib/HistoryEvent.ts
@@ -4,23 +4,26 @@
 const outcome = z.enum(["completed", "not run", "unknown"]);
 
 /**
- * What one process did, as one line of its history file. docs/HISTORY.md explains each event.
+ * An event that a process records as one line of its history file. docs/HISTORY.md explains each event.
  *
  * @public
  */
 export const historyEventSchema = z.discriminatedUnion("event", [
-    /** The first line of a file. An agent names its target, so that the checker knows whose history is whole. */
+    /**
+     * The first line of a file. An agent names its target, so that the checker can tell whether the history of that
+     * target is complete.
+     */
     z.object({ event: z.literal("process.started"), target: z.string().optional() }),
-    /** The last line of a file that was closed in order: nothing behind it is lost. */
+    /** The last line of a file that was closed normally. No lines after it are lost. */
     z.object({ event: z.literal("history.closed") }),
-    /** An entry took a request from a caller. */
+    /** An entry received a request from a caller. */
     z.object({
         event: z.literal("request.received"),
         request: z.string(),
         organisation: z.string(),
         /** The model, or the service. */
         route: z.string(),
-        /** What the caller set as `X-Request-Id`, to join its own history with this one. */
+        /** The value of the caller's `X-Request-Id` header; joins the caller's history with this one. */
         callerRequest: z.string().optional(),
         idempotent: z.boolean(),
         key: z.string().optional(),
@@ -34,7 +37,7 @@
     }),
     /** An agent admitted new work for its target. */
     z.object({ event: z.literal("work.accepted"), request: z.string(), epoch: z.number().int(), target: z.string() }),
-    /** An agent refused work as not run. */
+    /** An agent refused work without running any of it. */
     z.object({
         event: z.literal("work.refused"),
         request: z.string(),
@@ -42,7 +45,7 @@
         target: z.string(),
         code: z.number().int(),
     }),
-    /** The layers `first` to `last` ran on `count` positions of the sequence, from `position` on. */
+    /** The layers `first` to `last` ran on `count` positions of the sequence, starting at `position`. */
     z.object({
         event: z.literal("layers.run"),
         ...attempt,
@@ -53,7 +56,7 @@
         position: z.number().int(),
         count: z.number().int(),
     }),
-    /** The KV cache of these positions was taken over instead of being computed: prefix cache or import. */
+    /** The KV cache of these positions came from the prefix cache or an import instead of being computed. */
     z.object({
         event: z.literal("layers.reused"),
         ...attempt,
@@ -62,12 +65,12 @@
         last: z.number().int(),
         count: z.number().int(),
         from: z.enum(["prefix", "import"]),
-        /** The model version that computed them, where known. */
+        /** The model version that computed the KV cache, if known. */
         version: z.string().optional(),
     }),
-    /** The head learned how long the prompt is, in tokens. */
+    /** The head determined the length of the prompt in tokens, and the number of layers of the model. */
     z.object({ event: z.literal("prompt.read"), ...attempt, tokens: z.number().int(), layers: z.number().int() }),
-    /** An entry wrote tokens of the answer to the caller, from answer position `position` on. */
+    /** An entry wrote tokens of the answer to the caller, starting at answer position `position`. */
     z.object({
         event: z.literal("tokens.sent"),
         ...attempt,
@@ -82,7 +85,7 @@
         code: z.number().int().optional(),
         tokens: z.number().int().optional(),
     }),
-    /** An agent passed a call to the service beside it. */
+    /** An agent forwarded a call to its service. */
     z.object({
         event: z.literal("service.run"),
         request: z.string(),
@@ -90,7 +93,7 @@
         target: z.string(),
         key: z.string().optional(),
     }),
-    /** A service stand-in carried out a call. */
+    /** A service of a test or demonstration executed a call. */
     z.object({
         event: z.literal("service.effect"),
         service: z.string(),
@@ -105,7 +108,7 @@
         key: z.string().optional(),
         prompt: z.string().optional(),
     }),
-    /** A caller of the load tool saw its request end. `digest` covers the text; `expected` is what it ought to be. */
+    /** A caller of the load tool saw its request end. `digest` covers the text; `expected` is the correct digest. */
     z.object({
         event: z.literal("caller.ended"),
         callerRequest: z.string(),
@@ -114,19 +117,19 @@
         digest: z.string().optional(),
         expected: z.string().optional(),
     }),
-    /** A target began to leave. From `bound` milliseconds later on it may accept no new work. */
+    /** A target began to leave. After `bound` milliseconds it must not accept new work. */
     z.object({ event: z.literal("target.leaving"), target: z.string(), bound: z.number() }),
-    /** A process stopped; `interrupted` counts requests that were cut off. */
+    /** A process stopped; `interrupted` is the number of requests that it interrupted. */
     z.object({ event: z.literal("process.stopped"), interrupted: z.number().int() }),
     /** The resource API accepted a change. */
     z.object({ event: z.literal("config.accepted"), revision: z.number().int(), writeId: z.string() }),
     /** A process put a revision in force. */
     z.object({ event: z.literal("config.applied"), revision: z.number().int(), digest: z.string() }),
-    /** A holder sent an order to a target. */
+    /** The holder of a lease sent an order to a target; `fence` is its fencing token. */
     z.object({ event: z.literal("order.issued"), order: z.string(), fence: z.number().int(), target: z.string() }),
-    /** A target's gate let an order through. */
+    /** The order gate of a target accepted an order. */
     z.object({ event: z.literal("order.applied"), order: z.string(), fence: z.number().int(), target: z.string() }),
-    /** The store let a transaction take effect. */
+    /** The store committed a transaction. */
     z.object({ event: z.literal("write.effect"), writeId: z.string() }),
 ]);
 
@@ -138,29 +141,29 @@
 export type HistoryEvent = z.infer<typeof historyEventSchema>;
 
 /**
- * One line of a history file: an event, and who recorded it when.
+ * Schema of one line of a history file: an event, and by which process and when it was recorded.
  *
  * @public
  */
 export const historyLineSchema = z.object({
     process: z.string(),
     incarnation: z.string(),
-    /** Counts the lines of one incarnation from 0. */
+    /** Number of the line within its incarnation, starting at 0. */
     sequence: z.number().int(),
-    /** Wall-clock time in milliseconds since 1970, for the bounds on leaving and activation. */
+    /** Wall-clock time in milliseconds since 1970, for the time limits on leaving and on activating a revision. */
     time: z.number(),
     body: historyEventSchema,
 });
 
 /**
- * One line of a history: an event, and where and when it was recorded.
+ * One line of a history, as {@link historyLineSchema} describes it.
  *
  * @public
  */
 export type HistoryLine = z.infer<typeof historyLineSchema>;
 
 /**
- * Takes the events of one process. A process that writes no history is given a function that does nothing.
+ * Records the events of one process. A process that writes no history uses a function that does nothing.
  *
  * @public
  */
--- a/packages/history/src/lib/recording/FileRecorder.ts
+++ b/packages/history/src/lib/recording/FileRecorder.ts
@@ -10,23 +10,24 @@
  */
 export interface FileRecorderOptions {
     readonly clock: Clock;
-    /** The file to write; one that exists is replaced. */
+    /** The file to write. An existing file is replaced. */
     readonly path: string;
-    /** The stable name of the process, as in its settings. */
+    /** The name of the process in its settings; it stays the same across restarts. */
     readonly process: string;
-    /** Unique for each start of the process. */
+    /** A unique ID for each start of the process. */
     readonly incarnation: string;
-    /** The target that this process runs beside, for an agent. */
+    /** The target of an agent; undefined for other processes. */
     readonly target?: string;
-    /** Milliseconds between two writes of what was recorded. */
+    /** Milliseconds between two writes of recorded events; 100 by default. */
     readonly flushInterval?: number;
 }
 
+/** Milliseconds between two writes of recorded events. */
 const defaultFlushInterval = 100;
 
 /**
- * Writes the history of one incarnation as JSON lines. Recording only fills a buffer, which is written on an interval
- * and on close; a process that is killed loses what was not yet written, and the checker knows that from the missing
+ * Writes the history of one incarnation as JSON lines. Recording only adds to a buffer, which is written at an interval
+ * and on close. A killed process loses the events that were not yet written; the checker detects that by the missing
  * `history.closed`.
  *
  * @example
@@ -40,7 +41,7 @@
  * @public
  */
 export class FileRecorder {
-    /** Takes an event. It may be passed on without the recorder. */
+    /** Records an event. The function is bound, so it may be passed on without the recorder. */
     readonly record: HistoryRecorder = event => this.append(event);
 
     private sequence = 0;
@@ -48,6 +49,7 @@
     private timer: Timer | undefined;
     private writing: Promise<void> = Promise.resolve();
     private closed = false;
+    /** The error of the first write that failed. */
     private lost: string | undefined;
 
     private constructor(private readonly options: FileRecorderOptions, private readonly file: FileHandle) {}
@@ -61,11 +63,11 @@
             return recorder.outcome(recorder);
         }
         catch (error) {
-            return unwritable(options.path, error);
+            return createWriteFailure(options.path, error);
         }
     }
 
-    /** Writes everything that was recorded so far. */
+    /** Writes all events recorded so far. */
     flush(): Promise<void> {
         this.timer?.cancel();
         this.timer = undefined;
@@ -74,9 +76,9 @@
     }
 
     /**
-     * Records the end, writes everything and closes the file. Events that come later are dropped.
+     * Records the end, writes all events and closes the file. Events recorded later are dropped.
      *
-     * @returns A failure if any line of the history could not be written.
+     * @returns A failure if a line of the history could not be written.
      */
     async close(): Promise<Outcome<void>> {
         if (!this.closed) {
@@ -89,8 +91,8 @@
     }
 
     /**
-     * Stops as a kill would: what is not written yet is lost, and nothing tells that the history ended. For tests that
-     * let a process die without ending the process that runs the test.
+     * Stops like a killed process: events not yet written are lost, and the end of the history is not recorded. For
+     * tests that simulate the kill of a process within the process that runs the test.
      */
     async abandon(): Promise<void> {
         if (this.closed) {
@@ -124,7 +126,7 @@
     private async write(): Promise<void> {
         const lines = this.buffer;
         this.buffer = [];
-        // After a failure the file may end inside a line, so nothing more may follow.
+        // After a failed write the file may end inside a line, so nothing more is appended.
         if (lines.length === 0 || this.lost !== undefined) {
             return;
         }
@@ -137,11 +139,11 @@
     }
 
     private outcome<T>(value: T): Outcome<T> {
-        return this.lost === undefined ? Result.ok(value) : unwritable(this.options.path, this.lost);
+        return this.lost === undefined ? Result.ok(value) : createWriteFailure(this.options.path, this.lost);
     }
 }
 
-function unwritable(path: string, cause: unknown): Outcome<never> {
+function createWriteFailure(path: string, cause: unknown): Outcome<never> {
     return Result.err(failure(resourceCodes.invalidSettings, `history file ${path}: ${messageOf(cause)}`));
 }
 
--- a/packages/history/src/lib/recording/readHistory.ts
+++ b/packages/history/src/lib/recording/readHistory.ts
@@ -5,14 +5,14 @@
 import { type HistoryLine, historyLineSchema } from "../HistoryEvent.js";
 
 /**
- * What was read of one file.
+ * Result of reading one history file.
  *
  * @public
  */
 export interface HistoryFile {
-    /** How many whole lines the file has. */
+    /** Number of complete lines in the file. */
     readonly lines: number;
-    /** True if the file ends inside a line, as that of a process that was killed may. */
+    /** True if the file ends inside a line, as the file of a killed process may. */
     readonly torn: boolean;
 }
 
@@ -20,17 +20,18 @@
  * Reads one history file, line by line.
  *
  * @param path - The file.
- * @param take - Takes each line, in the order of the file.
- * @returns `resourceCodes.invalidSyntax` or `invalidField` for a line that cannot be read, with file and line in the
- * message; `resourceCodes.noSuchResource` for a file that cannot be read. A last line without an end is no error.
+ * @param take - Called with each line, in the order of the file.
+ * @returns `resourceCodes.invalidSyntax` or `invalidField` for a line that cannot be parsed, with file and line
+ * number in the message; `resourceCodes.noSuchResource` for a file that cannot be read. An unterminated last line is
+ * not an error.
  * @public
  */
 export async function readHistory(path: string, take: (line: HistoryLine) => void): Promise<Outcome<HistoryFile>> {
     let rest = "";
     let lines = 0;
     try {
-        for await (const piece of createReadStream(path, { encoding: "utf8" })) {
-            const texts = (rest + (piece as string)).split("\n");
+        for await (const chunk of createReadStream(path, { encoding: "utf8" })) {
+            const texts = (rest + (chunk as string)).split("\n");
             rest = texts.pop() ?? "";
             for (const text of texts) {
                 lines++;
@@ -50,20 +51,20 @@
 }
 
 function parseLine(text: string, path: string, number: number): Outcome<HistoryLine> {
-    const place = `${path}:${number}`;
+    const location = `${path}:${number}`;
     let value: unknown;
     try {
         value = JSON.parse(text);
     }
     catch {
-        return Result.err(failure(resourceCodes.invalidSyntax, `${place}: expected a JSON object on one line`));
+        return Result.err(failure(resourceCodes.invalidSyntax, `${location}: expected a JSON object on one line`));
     }
     const parsed = historyLineSchema.safeParse(value);
     if (!parsed.success) {
         const [issue] = z.prettifyError(parsed.error).split("\n");
         const [first] = parsed.error.issues;
         const field = first?.path.join(".") ?? "";
-        const message = `${place}: ${field === "" ? "the line" : field}: ${first?.message ?? issue}`;
+        const message = `${location}: ${field === "" ? "the line" : field}: ${first?.message ?? issue}`;
         return Result.err(failure(resourceCodes.invalidField, message, { path: field }));
     }
     return Result.ok(parsed.data);
--- a/packages/history/src/lib/recording/recording.test.ts
+++ b/packages/history/src/lib/recording/recording.test.ts
@@ -28,7 +28,7 @@
     return lines;
 }
 
-test("what is recorded comes back in order, after the interval or the close", async t => {
+test("recorded events are read back in order, after the interval or on close", async t => {
     const path = await temporaryFile(t);
     const clock = new ManualClock(5000);
     const recorder = await openRecorder(path, clock);
@@ -59,7 +59,7 @@
         recorder.record({ event: "write.effect", writeId: String(index) });
     }
     clock.advance(100);
-    // The file system decides when the write ends, so the test only waits until it has.
+    // The write ends at a time that the clock of the test does not control, so the test polls for its result.
     while ((await readFile(path, "utf8")).split("\n").length < 1002) {
         await new Promise(resolve => setImmediate(resolve));
     }
@@ -68,7 +68,7 @@
     assert.ok((await recorder.close()).isOk);
 });
 
-test("a file that cannot be written or read is a failure that names it", async t => {
+test("the failure for a file that cannot be written or read names the file", async t => {
     const path = join(await temporaryFile(t), "no", "folder");
     const opened = await FileRecorder.open({ clock: new ManualClock(), path, process: "p", incarnation: "i" });
     assert.ok(opened.isErr && opened.error.message.includes(path));
@@ -77,7 +77,7 @@
     assert.equal(read.error.code, resourceCodes.noSuchResource);
 });
 
-test("a line that cannot be read is named by file and line", async t => {
+test("the failure for an invalid line names file and line number", async t => {
     const path = await temporaryFile(t);
     const good = JSON.stringify({
         process: "p",
