--- a/packages/history/src/lib/check/answerViolations.test.ts
+++ b/packages/history/src/lib/check/answerViolations.test.ts
@@ -1,25 +1,25 @@
-import { change, ended, sent, testPlants } from "../../testing/plants.js";
+import { change, ended, sent, testPlantedViolations } from "../../testing/plants.js";
 
-testPlants({
+testPlantedViolations({
     "a token delivered twice": {
         rule: "delivery",
         request: "resumed",
-        plant: history => change(history, "tokens.sent", sent("resumed", 2), event => [event, event]),
+        apply: history => change(history, "tokens.sent", sent("resumed", 2), event => [event, event]),
     },
     "a token changed": {
         rule: "delivery",
         request: "resumed",
-        plant: history => change(history, "tokens.sent", sent("resumed", 2), event => [event, { ...event, ids: [99] }]),
+        apply: history => change(history, "tokens.sent", sent("resumed", 2), event => [event, { ...event, ids: [99] }]),
     },
     "a token left out": {
         rule: "delivery",
         request: "resumed",
-        plant: history => change(history, "tokens.sent", sent("resumed", 1), () => []),
+        apply: history => change(history, "tokens.sent", sent("resumed", 1), () => []),
     },
-    "a token behind the end": {
+    "a token after the end": {
         rule: "delivery",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             change(history, "request.ended", ended("resumed"), event => [
                 { ...event, tokens: undefined },
                 { event: "tokens.sent", request: "resumed", epoch: 1, position: 7, ids: [1] },
@@ -28,26 +28,26 @@
     "a token from an older attempt": {
         rule: "delivery",
         request: "resumed",
-        plant: history => change(history, "tokens.sent", sent("resumed", 5), event => [{ ...event, epoch: 0 }]),
+        apply: history => change(history, "tokens.sent", sent("resumed", 5), event => [{ ...event, epoch: 0 }]),
     },
     "tokens from two entries": {
         rule: "delivery",
         message: /two processes/,
         request: "resumed",
-        plant: history => {
+        apply: history => {
             change(history, "tokens.sent", sent("resumed", 6), () => []);
             history.insert("entry-2", { event: "tokens.sent", request: "resumed", epoch: 1, position: 6, ids: [6] });
         },
     },
-    "an answer cut short": {
+    "a truncated answer": {
         rule: "delivery",
         request: "resumed",
-        plant: history => change(history, "tokens.sent", sent("resumed", 6), () => []),
+        apply: history => change(history, "tokens.sent", sent("resumed", 6), () => []),
     },
     "tokens of a request that was not run": {
         rule: "delivery",
         request: "duplicate",
-        plant: history =>
+        apply: history =>
             change(history, "request.ended", ended("duplicate"), event => [
                 { event: "tokens.sent", request: "duplicate", epoch: 0, position: 0, ids: [1] },
                 event,
@@ -56,17 +56,17 @@
     "two ends": {
         rule: "delivery",
         request: "publish",
-        plant: history => change(history, "request.ended", ended("publish"), event => [event, event]),
+        apply: history => change(history, "request.ended", ended("publish"), event => [event, event]),
     },
     "no end": {
         rule: "delivery",
         request: "publish",
-        plant: history => change(history, "request.ended", ended("publish"), () => []),
+        apply: history => change(history, "request.ended", ended("publish"), () => []),
     },
     "another caller's answer": {
         rule: "answers",
         request: "caller resumed",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "caller.ended",
@@ -77,12 +77,12 @@
     "a caller that saw no end": {
         rule: "answers",
         request: "caller resumed",
-        plant: history => change(history, "caller.ended", event => event.callerRequest === "caller resumed", () => []),
+        apply: history => change(history, "caller.ended", event => event.callerRequest === "caller resumed", () => []),
     },
     "a caller that saw two ends": {
         rule: "answers",
         request: "caller resumed",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "caller.ended",
@@ -90,10 +90,10 @@
                 event => [event, event],
             ),
     },
-    "a caller told another end than the entry's": {
+    "a caller and an entry with different outcomes": {
         rule: "answers",
         request: "caller publish",
-        plant: history =>
+        apply: history =>
             change(history, "request.ended", ended("publish"), event => [{ ...event, outcome: "unknown" }]),
     },
 });
--- a/packages/history/src/lib/check/controlViolations.test.ts
+++ b/packages/history/src/lib/check/controlViolations.test.ts
@@ -1,10 +1,10 @@
-import { always, change, ended, received, testPlants } from "../../testing/plants.js";
+import { always, change, ended, received, testPlantedViolations } from "../../testing/plants.js";
 
-testPlants({
-    "layers of a refused request": {
+testPlantedViolations({
+    "layers run for a refused request": {
         rule: "not-run",
         request: "duplicate",
-        plant: history =>
+        apply: history =>
             history.insert("target-a", {
                 event: "layers.run",
                 request: "duplicate",
@@ -17,10 +17,10 @@
                 count: 1,
             }),
     },
-    "layers of a request that only its caller saw refused": {
+    "layers run for a request that only its caller saw refused": {
         rule: "not-run",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "caller.ended",
@@ -31,26 +31,26 @@
     "a refused call that ran": {
         rule: "not-run",
         request: "call 0",
-        plant: history =>
+        apply: history =>
             change(history, "request.ended", ended("call 0"), event => [{ ...event, outcome: "not run" }]),
     },
     "a refused call that had an effect": {
         rule: "not-run",
         request: "call 0",
-        plant: history => {
+        apply: history => {
             change(history, "request.ended", ended("call 0"), event => [{ ...event, outcome: "not run" }]);
             change(history, "service.run", event => event.request === "call 0", () => []);
         },
     },
-    "a call passed on twice": {
+    "a call forwarded twice": {
         rule: "at-most-once",
         request: "call 1",
-        plant: history => change(history, "service.run", event => event.request === "call 1", event => [event, event]),
+        apply: history => change(history, "service.run", event => event.request === "call 1", event => [event, event]),
     },
-    "a call passed on by two requests with one key": {
+    "a call forwarded by two requests with one key": {
         rule: "at-most-once",
         request: "call 0",
-        plant: history => {
+        apply: history => {
             change(history, "request.received", received("call 1"), event => [{ ...event, key: "order 1" }]);
             change(
                 history,
@@ -63,12 +63,12 @@
     "an effect twice": {
         rule: "at-most-once",
         request: "call 0",
-        plant: history =>
+        apply: history =>
             history.insert("records", { event: "service.effect", service: "records", key: "order 1", run: 3 }),
     },
-    "an effect twice without any entry's word": {
+    "an effect twice without a line of any entry": {
         rule: "at-most-once",
-        plant: history => {
+        apply: history => {
             change(history, "request.received", received("call 0"), () => []);
             change(history, "request.received", received("refused call"), () => []);
             change(history, "service.run", event => event.request === "call 0", () => []);
@@ -78,7 +78,7 @@
     "two heads of one request": {
         rule: "at-most-once",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.insert("target-d", {
                 event: "layers.run",
                 request: "publish",
@@ -94,7 +94,7 @@
     "two model requests with one key": {
         rule: "at-most-once",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "request.received",
@@ -105,7 +105,7 @@
     "two heads without a key": {
         rule: "at-most-once",
         request: "publish",
-        plant: history => {
+        apply: history => {
             change(history, "request.received", received("publish"), event => [{ ...event, key: undefined }]);
             history.insert("target-b", {
                 event: "layers.run",
@@ -120,29 +120,29 @@
             });
         },
     },
-    "work on a target that left": {
+    "work accepted by a target that left": {
         rule: "leaving",
         request: "too late",
-        plant: history => {
+        apply: history => {
             history.time -= 13_000 + 29;
             history.insert("target-b", { event: "work.accepted", request: "too late", epoch: 0, target: "target-b" });
         },
     },
-    "a stop that cut off requests": {
+    "a stop that interrupted requests": {
         rule: "stops",
-        plant: history => change(history, "process.stopped", always, event => [{ ...event, interrupted: 2 }]),
+        apply: history => change(history, "process.stopped", always, event => [{ ...event, interrupted: 2 }]),
     },
-    "a revision that went back": {
+    "a return to an older revision": {
         rule: "configuration",
-        plant: history => history.insert("entry-1", { event: "config.applied", revision: 2, digest: "revision 2" }),
+        apply: history => history.insert("entry-1", { event: "config.applied", revision: 2, digest: "revision 2" }),
     },
     "a revision applied twice": {
         rule: "configuration",
-        plant: history => history.insert("entry-1", { event: "config.applied", revision: 3, digest: "revision 3" }),
+        apply: history => history.insert("entry-1", { event: "config.applied", revision: 3, digest: "revision 3" }),
     },
     "a revision with two contents": {
         rule: "configuration",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "config.applied",
@@ -152,19 +152,19 @@
     },
     "a revision never accepted": {
         rule: "configuration",
-        plant: history => history.insert("entry-1", { event: "config.applied", revision: 4, digest: "revision 4" }),
+        apply: history => history.insert("entry-1", { event: "config.applied", revision: 4, digest: "revision 4" }),
     },
     "a revision not in force in time": {
         rule: "configuration",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ process, body }) => process === "target-a" && body.event === "config.applied" && body.revision === 3,
                 () => [],
             ),
     },
-    "an old fence": {
+    "a stale fencing token": {
         rule: "orders",
-        plant: history =>
+        apply: history =>
             history.insert("target-c", {
                 event: "order.applied",
                 order: "late",
@@ -172,27 +172,27 @@
                 target: "target-c",
             }),
     },
-    "an old fence after a restart of the gate": {
+    "a stale fencing token after a restart of the gate": {
         rule: "orders",
-        plant: history => {
+        apply: history => {
             history.add("target-c#2", { event: "order.applied", order: "late", fence: 4, target: "target-c" });
             history.close();
         },
     },
     "an order applied twice": {
         rule: "orders",
-        plant: history => change(history, "order.applied", event => event.order === "unload", event => [event, event]),
+        apply: history => change(history, "order.applied", event => event.order === "unload", event => [event, event]),
     },
     "a write that took effect twice": {
         rule: "writes",
-        plant: history => history.insert("store", { event: "write.effect", writeId: "w1" }),
+        apply: history => history.insert("store", { event: "write.effect", writeId: "w1" }),
     },
     "a line lost inside a history": {
         rule: "recording",
-        plant: history => void history.file("entry-1").splice(3, 1),
+        apply: history => void history.file("entry-1").splice(3, 1),
     },
     "a line recorded twice": {
         rule: "recording",
-        plant: history => void history.file("store").splice(2, 0, ...history.file("store").slice(1, 2)),
+        apply: history => void history.file("store").splice(2, 0, ...history.file("store").slice(1, 2)),
     },
 });
--- a/packages/history/src/lib/check/layerViolations.test.ts
+++ b/packages/history/src/lib/check/layerViolations.test.ts
@@ -1,10 +1,19 @@
-import { always, at, change, ended, type Event, received, sent, testPlants } from "../../testing/plants.js";
+import {
+    always,
+    change,
+    ended,
+    type Event,
+    layersRunAt,
+    received,
+    sent,
+    testPlantedViolations,
+} from "../../testing/plants.js";
 
-testPlants({
+testPlantedViolations({
     "a layer range never ran": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "publish" && body.first === 4,
                 () => [],
@@ -13,22 +22,22 @@
     "a position missing in the middle": {
         rule: "layers",
         request: "resumed",
-        plant: history => change(history, "layers.run", at("resumed", 0, 24, 4), () => []),
+        apply: history => change(history, "layers.run", layersRunAt("resumed", 0, 24, 4), () => []),
     },
     "a position missing at the end": {
         rule: "layers",
         request: "resumed",
-        plant: history => change(history, "layers.run", at("resumed", 1, 45, 4), () => []),
+        apply: history => change(history, "layers.run", layersRunAt("resumed", 1, 45, 4), () => []),
     },
     "a position run twice": {
         rule: "layers",
         request: "resumed",
-        plant: history => change(history, "layers.run", at("resumed", 0, 24, 8), event => [event, event]),
+        apply: history => change(history, "layers.run", layersRunAt("resumed", 0, 24, 8), event => [event, event]),
     },
     "positions swapped": {
         rule: "layers",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) =>
                     body.event === "layers.run" && body.request === "resumed" && body.first === 0
@@ -42,7 +51,7 @@
     "a layer run by two targets": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "publish" && body.first === 4,
                 ({ body }) => [{ ...body as Event<"layers.run">, first: 3 }],
@@ -51,7 +60,7 @@
     "upper layers before lower ones in one process": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "publish" && body.first === 4,
                 ({ body }) => {
@@ -60,10 +69,10 @@
                 },
             ),
     },
-    "stages against the order of the chain": {
+    "stages that do not follow the order of the chain": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "attempt.started",
@@ -74,7 +83,7 @@
     "a layer that the model does not have": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "publish" && body.first === 4,
                 ({ body }) => [{ ...body as Event<"layers.run">, last: 12 }],
@@ -83,7 +92,7 @@
     "two versions in one attempt": {
         rule: "layers",
         request: "publish",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "publish" && body.first === 4,
                 ({ body }) => [{ ...body as Event<"layers.run">, version: "8" }],
@@ -92,7 +101,7 @@
     "two versions in one answer": {
         rule: "layers",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             history.edit(
                 ({ body }) => body.event === "layers.run" && body.request === "resumed" && body.epoch === 1,
                 ({ body }) => [{ ...body as Event<"layers.run">, version: "8" }],
@@ -101,17 +110,17 @@
     "a KV cache of another version": {
         rule: "layers",
         request: "resumed",
-        plant: history => change(history, "layers.reused", always, event => [{ ...event, version: "6" }]),
+        apply: history => change(history, "layers.reused", always, event => [{ ...event, version: "6" }]),
     },
     "too little reused": {
         rule: "layers",
         request: "resumed",
-        plant: history => change(history, "layers.reused", always, event => [{ ...event, count: 15 }]),
+        apply: history => change(history, "layers.reused", always, event => [{ ...event, count: 15 }]),
     },
     "a prompt of two lengths": {
         rule: "layers",
         request: "resumed",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "prompt.read",
@@ -119,18 +128,18 @@
                 event => [{ ...event, tokens: event.tokens - 1 }],
             ),
     },
-    "a duplicate that got more than was computed": {
+    "a duplicate that delivered more than was computed": {
         rule: "layers",
         request: "follower",
-        plant: history => {
+        apply: history => {
             change(history, "tokens.sent", sent("follower", 0), event => [{ ...event, ids: [0, 1, 2, 3] }]);
             change(history, "request.ended", ended("follower"), event => [{ ...event, tokens: 4 }]);
         },
     },
-    "a duplicate of a request that ran nothing": {
+    "a duplicate without a request that ran layers": {
         rule: "layers",
         request: "follower",
-        plant: history =>
+        apply: history =>
             change(
                 history,
                 "request.received",
--- a/packages/history/src/lib/checkHistory.test.ts
+++ b/packages/history/src/lib/checkHistory.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { HistoryBuilder } from "../testing/HistoryBuilder.js";
-import { at, change } from "../testing/plants.js";
+import { change, layersRunAt } from "../testing/plants.js";
 import { sampleHistory } from "../testing/sampleHistory.js";
 import { type HistoryRule, historyRules } from "./check/Findings.js";
 import { checkHistory } from "./checkHistory.js";
 import { historyEventSchema, type HistoryLine } from "./HistoryEvent.js";
 
-test("a history in which all holds passes every rule", () => {
+test("a valid history passes every rule", () => {
     const report = checkHistory(sampleHistory().lines());
     assert.deepEqual(report.violations, []);
     for (const rule of historyRules) {
@@ -22,12 +22,12 @@
     assert.deepEqual(missing, [], "the sample lacks these events");
 });
 
-/** Cuts a history after a number of lines, as a kill does. */
-function cut(lines: readonly HistoryLine[], process: string, keep: number): HistoryLine[] {
+/** Drops the lines of a process after the first `keep`, as if the process had been killed. */
+function truncate(lines: readonly HistoryLine[], process: string, keep: number): HistoryLine[] {
     return lines.filter(line => line.process !== process || line.sequence < keep);
 }
 
-test("what the lost end of a killed process may hold is undecided, not passed", () => {
+test("a case that depends on the lost lines of a killed process is undecided, not passed", () => {
     const lines = sampleHistory().lines();
     const whole = checkHistory(lines).rules;
     const leaving = lines.find(({ body }) => body.event === "target.leaving")?.sequence ?? 0;
@@ -44,7 +44,7 @@
         ["operators", "configuration", 2],
     ];
     for (const [process, rule, keep] of cases) {
-        const { rules, violations, incomplete } = checkHistory(cut(lines, process, keep));
+        const { rules, violations, incomplete } = checkHistory(truncate(lines, process, keep));
         assert.deepEqual(violations, [], process);
         assert.ok(incomplete.some(name => name.startsWith(process)));
         assert.ok(rules[rule].undecided > 0, `${rule} without ${process}`);
@@ -52,7 +52,7 @@
     }
 });
 
-test("a history that is missing as a whole must be named as lost", () => {
+test("a history that is missing entirely must be named as lost", () => {
     const lines = sampleHistory().lines().filter(line => line.process !== "target-d");
     const { violations, rules } = checkHistory(lines);
     assert.deepEqual(violations, []);
@@ -64,9 +64,9 @@
     assert.ok(named.rules.configuration.undecided > 0);
 });
 
-test("what ran behind a hole proves the hole, even if the end is lost", () => {
+test("later positions of the same incarnation prove a gap, even if its last lines are lost", () => {
     const history = sampleHistory();
-    change(history, "layers.run", at("resumed", 0, 24, 4), () => []);
+    change(history, "layers.run", layersRunAt("resumed", 0, 24, 4), () => []);
     const killed = history.lines().filter(line =>
         line.process !== "target-b" || line.body.event === "layers.run"
         || line.body.event === "process.started"
@@ -75,15 +75,15 @@
     assert.ok(violations.some(({ rule }) => rule === "layers"));
 });
 
-test("a killed agent leaves undecided only what it could have recorded", () => {
-    const { rules } = checkHistory(cut(sampleHistory().lines(), "target-b", 2));
+test("a killed agent makes only those cases undecided that it could have recorded", () => {
+    const { rules } = checkHistory(truncate(sampleHistory().lines(), "target-b", 2));
     const whole = checkHistory(sampleHistory().lines()).rules;
     for (const rule of ["delivery", "answers", "at-most-once", "configuration", "orders", "writes"] as const) {
         assert.deepEqual(rules[rule], whole[rule], rule);
     }
 });
 
-test("an entry that died before the end of a request may have started more attempts", () => {
+test("an entry killed before the end of a request may have started more attempts", () => {
     const history = new HistoryBuilder();
     const received = {
         event: "request.received",
@@ -97,7 +97,7 @@
     assert.deepEqual(rules["at-most-once"], { passed: 0, violated: 0, undecided: 1 });
 });
 
-test("an answer that nobody compared is undecided", () => {
+test("an answer without an expected digest is undecided", () => {
     const history = new HistoryBuilder();
     history.add("caller", { event: "caller.sent", callerRequest: "c", idempotent: true });
     history.add("caller", { event: "caller.ended", callerRequest: "c", outcome: "completed", digest: "d" });
@@ -105,7 +105,7 @@
     assert.deepEqual(checkHistory(history.lines()).rules.answers, { passed: 0, violated: 0, undecided: 1 });
 });
 
-test("an incarnation killed earlier does not blur the leaving of its successor", () => {
+test("an incarnation killed earlier does not make the leaving of its successor undecided", () => {
     const history = new HistoryBuilder();
     history.add("target-a#1");
     history.time += 100;
@@ -116,7 +116,7 @@
     assert.deepEqual(checkHistory(history.lines()).rules.leaving, { passed: 1, violated: 0, undecided: 0 });
 });
 
-test("a process that must have configuration and never applied any is caught", () => {
+test("a process that must apply configuration but never does is caught", () => {
     const lines = sampleHistory().lines();
     assert.deepEqual(checkHistory(lines, { configured: ["entry-1", "target-a"] }).violations, []);
     const { violations } = checkHistory(lines, { configured: ["operators"] });
@@ -124,7 +124,7 @@
     assert.equal(violations.length, 3);
 });
 
-test("revisions below the base need no acceptance", () => {
+test("revisions up to the base revision need no acceptance", () => {
     const history = new HistoryBuilder();
     history.add("entry", { event: "config.applied", revision: 8, digest: "d" });
     history.close();
--- a/packages/history/src/testing/HistoryBuilder.ts
+++ b/packages/history/src/testing/HistoryBuilder.ts
@@ -1,12 +1,12 @@
 import { type HistoryEvent, type HistoryLine } from "../lib/HistoryEvent.js";
 
-/** A history in memory that a test builds and then spoils. */
+/** Builds a history in memory, and edits it to plant violations. */
 export class HistoryBuilder {
     private readonly files = new Map<string, HistoryLine[]>();
     /** The time of the next line, in milliseconds. */
     time = 1_000_000;
 
-    /** Adds an event to the history of a process. The first one is preceded by `process.started`. */
+    /** Adds events to the history of a process, which starts with `process.started`. */
     add(process: string, ...events: HistoryEvent[]): void {
         const file = this.files.get(process) ?? this.start(process);
         for (const body of events) {
@@ -23,27 +23,27 @@
         }
     }
 
-    /** All lines, file after file. */
+    /** Returns all lines, file by file. */
     lines(): HistoryLine[] {
         return [...this.files.values()].flat();
     }
 
-    /** The names of the processes. */
+    /** Returns the names of the processes. */
     processes(): string[] {
         return [...this.files.keys()];
     }
 
-    /** The lines of one process, in place. */
+    /** Returns the lines of one process. Changes to the array change the history. */
     file(process: string): HistoryLine[] {
         return this.files.get(process) ?? [];
     }
 
     /**
-     * Replaces the lines for which a condition holds, and counts the sequences anew, so that only the rule in question
-     * can notice.
+     * Replaces the lines for which a condition holds, and renumbers all lines, so that the rule on sequence numbers
+     * finds no violation.
      *
-     * @param condition - Chooses lines.
-     * @param replace - Gives the events that stand in a line's place.
+     * @param condition - Selects the lines to replace.
+     * @param replace - Returns the events that replace a line.
      */
     edit(condition: (line: HistoryLine) => boolean, replace: (line: HistoryLine) => HistoryEvent[]): void {
         for (const [process, file] of this.files) {
--- a/packages/history/src/testing/plants.ts
+++ b/packages/history/src/testing/plants.ts
@@ -6,21 +6,22 @@
 import { type HistoryBuilder } from "./HistoryBuilder.js";
 import { sampleHistory } from "./sampleHistory.js";
 
-/** A violation to plant into the sample history. */
-export interface Plant {
+/** A violation planted in the sample history. */
+export interface PlantedViolation {
     readonly rule: HistoryRule;
     readonly request?: string;
-    /** What the message must say, where several faults of one rule would follow from the plant. */
+    /** Matches the message, if the change causes several violations of the rule. */
     readonly message?: RegExp;
-    readonly plant: (history: HistoryBuilder) => void;
+    /** Plants the violation. */
+    readonly apply: (history: HistoryBuilder) => void;
 }
 
 /** The name of an event. */
 export type EventName = HistoryEvent["event"];
-/** An event of one name. */
+/** The event with a given name. */
 export type Event<Name extends EventName> = Extract<HistoryEvent, { event: Name; }>;
 
-/** Changes the first event of a name for which a condition holds. */
+/** Replaces the first event with the given name for which a condition holds. */
 export function change<Name extends EventName>(
     history: HistoryBuilder,
     name: Name,
@@ -35,34 +36,34 @@
     assert.ok(changed, `no ${name} to change`);
 }
 
-/** Chooses layers that ran. */
-export function at(request: string, epoch: number, position: number, first: number) {
+/** Selects a `layers.run` event. */
+export function layersRunAt(request: string, epoch: number, position: number, first: number) {
     return (event: Event<"layers.run">) => (
         event.request === request && event.epoch === epoch && event.position === position && event.first === first
     );
 }
 
-/** Chooses the first. */
+/** Selects any event. */
 export const always = () => true;
 
-/** Chooses delivered tokens. */
+/** Selects a `tokens.sent` event. */
 export function sent(request: string, position: number) {
     return (event: Event<"tokens.sent">) => event.request === request && event.position === position;
 }
 
-/** Chooses the end of a request. */
+/** Selects the end of a request. */
 export function ended(request: string) {
     return (event: Event<"request.ended">) => event.request === request;
 }
 
-/** Chooses the arrival of a request. */
+/** Selects the arrival of a request. */
 export function received(request: string) {
     return (event: Event<"request.received">) => event.request === request;
 }
 
-/** Adds a test for each violation: planted into a valid history, it must be caught by its rule. */
-export function testPlants(plants: Readonly<Record<string, Plant>>): void {
-    for (const [name, { rule, request, message, plant }] of Object.entries(plants)) {
+/** Registers a test for each violation: planted in a valid history, its rule must find it. */
+export function testPlantedViolations(plants: Readonly<Record<string, PlantedViolation>>): void {
+    for (const [name, { rule, request, message, apply: plant }] of Object.entries(plants)) {
         void test(`caught: ${name}`, () => {
             const history = sampleHistory();
             plant(history);
--- a/packages/history/src/testing/sampleHistory.ts
+++ b/packages/history/src/testing/sampleHistory.ts
@@ -15,8 +15,8 @@
 ];
 
 /**
- * A run in which every rule has cases and all hold: a resumed request, one that is not idempotent with a duplicate,
- * one refused, calls of a service, a target that leaves, revisions, orders and writes.
+ * Creates a valid history with cases for every rule: a resumed request, a request that is not idempotent with its
+ * duplicates, a refused call, calls to a service, a target that leaves, revisions, orders and writes.
  */
 export function sampleHistory(): HistoryBuilder {
     const history = new HistoryBuilder();
@@ -50,7 +50,7 @@
     return history;
 }
 
-/** A duplicate with the key of "publish" reaches another entry and is refused. */
+/** Adds a duplicate of "publish" that reaches another entry and is refused. */
 function addRefusedDuplicate(history: HistoryBuilder): void {
     const callerRequest = "caller duplicate";
     const request = "duplicate";
@@ -69,7 +69,7 @@
     history.add("caller", { event: "caller.ended", callerRequest, outcome: "not run", code: 1014 });
 }
 
-/** Another duplicate of "publish" is given its answer, and runs nothing itself. */
+/** Adds a duplicate of "publish" that receives its answer without running anything itself. */
 function addFollower(history: HistoryBuilder): void {
     const request = "follower";
     const key = "model key";
@@ -95,7 +95,7 @@
     );
 }
 
-/** A call with the key of one that ran is refused. */
+/** Adds a refused call with the key of a call that ran. */
 function addRefusedCall(history: HistoryBuilder): void {
     const request = "refused call";
     history.add("entry-1", {
@@ -130,7 +130,7 @@
     }
 }
 
-/** Target b leaves, takes a last request within its bound, and comes back as a new incarnation. */
+/** Adds a target that leaves, accepts a last request within its bound, and restarts as a new incarnation. */
 function addLeavingTarget(history: HistoryBuilder): void {
     const target = "target-b";
     const accepted = (request: string) => ({ event: "work.accepted" as const, request, epoch: 0, target });
@@ -151,7 +151,7 @@
     }
     history.time += 10_000;
     history.add("target-a", { event: "work.refused", request: "late", epoch: 0, target: "target-a", code: 1010 });
-    // A process that starts late has the newest revision at once.
+    // A process that starts later applies the newest revision directly.
     history.add("entry-3", { event: "config.applied", revision: 3, digest: "revision 3" });
     history.time += 5000;
     history.add("entry-3", { event: "order.issued", order: "after the restart", fence: 6, target: "target-c" });
--- a/packages/history/src/testing/sampleRequest.ts
+++ b/packages/history/src/testing/sampleRequest.ts
@@ -6,24 +6,24 @@
     readonly target: string;
     readonly first: number;
     readonly last: number;
-    /** Positions that the stage has in its prefix cache; it may hold more than the shortest of its chain. */
+    /** Positions that the stage has in its prefix cache; it may be more than the minimum of its chain. */
     readonly cached: number;
 }
 
 /** One attempt of a sample request. */
 export interface SampleAttempt {
     readonly stages: readonly SampleStage[];
-    /** How many tokens of the answer the attempt delivers. */
+    /** Number of tokens of the answer that the attempt delivers. */
     readonly tokens: number;
 }
 
-/** A model request that goes as it should. */
+/** A model request without violations. */
 export interface SampleRequest {
     readonly request: string;
     readonly entry: string;
     readonly layers: number;
     readonly promptTokens: number;
-    /** The most positions of one prefill step. */
+    /** Maximum number of positions in one prefill step. */
     readonly chunk: number;
     readonly attempts: readonly SampleAttempt[];
     readonly key?: string;
@@ -32,7 +32,7 @@
 
 const version = "7";
 
-/** Adds the lines of a model request, its caller included. */
+/** Adds the lines of a model request, including those of its caller. */
 export function addSampleRequest(history: HistoryBuilder, sample: SampleRequest): void {
     const { request, entry, key, idempotent = true } = sample;
     const callerRequest = `caller ${request}`;
