--- a/packages/history/src/lib/check/answerViolations.test.ts
+++ b/packages/history/src/lib/check/answerViolations.test.ts
@@ -1,4 +1,4 @@
-import { change, ended, sent, testPlantedViolations } from "../../testing/plants.js";
+import { change, ended, sent, testPlantedViolations } from "../../testing/testPlantedViolations.js";
 
 testPlantedViolations({
     "a token delivered twice": {
--- a/packages/history/src/lib/check/controlViolations.test.ts
+++ b/packages/history/src/lib/check/controlViolations.test.ts
@@ -1,4 +1,4 @@
-import { always, change, ended, received, testPlantedViolations } from "../../testing/plants.js";
+import { always, change, ended, received, testPlantedViolations } from "../../testing/testPlantedViolations.js";
 
 testPlantedViolations({
     "layers run for a refused request": {
--- a/packages/history/src/lib/check/layerViolations.test.ts
+++ b/packages/history/src/lib/check/layerViolations.test.ts
@@ -7,7 +7,7 @@
     received,
     sent,
     testPlantedViolations,
-} from "../../testing/plants.js";
+} from "../../testing/testPlantedViolations.js";
 
 testPlantedViolations({
     "a layer range never ran": {
--- a/packages/history/src/lib/check/rules/layers/Attempt.ts
+++ b/packages/history/src/lib/check/rules/layers/Attempt.ts
@@ -3,7 +3,7 @@
 import { getIncarnationKey } from "../../Recordings.js";
 import { type EventOf } from "../../Rule.js";
 import { findFaults, type LayerFaults } from "./coverage.js";
-import { LayerRun, type Reuse } from "./Lane.js";
+import { LayerRun, type Reuse } from "./LayerRun.js";
 
 /** The tokens that one attempt delivered to the caller. @internal */
 export interface Delivery {
--- a/packages/history/src/lib/check/rules/layers/coverage.ts
+++ b/packages/history/src/lib/check/rules/layers/coverage.ts
@@ -1,4 +1,4 @@
-import { type LayerRun, type Reuse, type Span } from "./Lane.js";
+import { type LayerRun, type Reuse, type Span } from "./LayerRun.js";
 
 /** Layers from `first` to `last` at positions from `from` to `to` (excluded). @internal */
 export interface Area extends Span {
--- a/packages/history/src/lib/checkHistory.test.ts
+++ b/packages/history/src/lib/checkHistory.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { HistoryBuilder } from "../testing/HistoryBuilder.js";
-import { change, layersRunAt } from "../testing/plants.js";
 import { sampleHistory } from "../testing/sampleHistory.js";
+import { change, layersRunAt } from "../testing/testPlantedViolations.js";
 import { type HistoryRule, historyRules } from "./check/Findings.js";
 import { checkHistory } from "./checkHistory.js";
 import { historyEventSchema, type HistoryLine } from "./HistoryEvent.js";
