--- a/packages/history/src/testing/testPlantedViolations.ts
+++ b/packages/history/src/testing/testPlantedViolations.ts
@@ -62,11 +62,11 @@
 }
 
 /** Registers a test for each violation: planted in a valid history, its rule must find it. */
-export function testPlantedViolations(plants: Readonly<Record<string, PlantedViolation>>): void {
-    for (const [name, { rule, request, message, apply: plant }] of Object.entries(plants)) {
+export function testPlantedViolations(plantedViolations: Readonly<Record<string, PlantedViolation>>): void {
+    for (const [name, { rule, request, message, apply }] of Object.entries(plantedViolations)) {
         void test(`caught: ${name}`, () => {
             const history = sampleHistory();
-            plant(history);
+            apply(history);
             const { violations, rules } = checkHistory(history.lines());
             const found = violations.filter(violation => violation.rule === rule);
             assert.ok(message === undefined || found.some(violation => message.test(violation.message)));
