--- a/packages/capacity/src/bin.ts
+++ b/packages/capacity/src/bin.ts
@@ -1,26 +1,26 @@
 /**
- * Measures every slope and writes the tables of docs/CAPACITY.md: `npm run capacity`.
+ * Runs every measurement, fits a line to each and writes the table of docs/CAPACITY.md: `npm run capacity`.
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import { cpus, loadavg, totalmem } from "node:os";
-import { fitSlope } from "./lib/fitSlope.js";
+import { fitLine } from "./lib/fitLine.js";
 import { type Measurement, measurements } from "./lib/measurements.js";
 import { replaceSection } from "./lib/replaceSection.js";
 
-const page = new URL("../../../docs/CAPACITY.md", import.meta.url);
+const pageUrl = new URL("../../../docs/CAPACITY.md", import.meta.url);
 const header = `| role | mechanism | quantity | measured at | per unit | fixed part | residual | at fleet size |
 |---|---|---|---|---|---|---|---|`;
 
 function measureRow({ role, mechanism, quantity, per, sizes, fleetSize, measure }: Measurement): string {
-    // The first run warms up the compiler and is not counted.
+    // The first run only warms up the JIT compiler; its result is discarded.
     measure(sizes[0] ?? 1);
     const points = sizes.map(x => ({ x, y: median([measure(x), measure(x), measure(x)]) }));
-    const fit = fitSlope(points);
-    const shown = points.map(({ x, y }) => `${x}: ${format(y)}`).join(", ");
+    const fit = fitLine(points);
+    const measured = points.map(({ x, y }) => `${x}: ${format(y)}`).join(", ");
     const slope = `${format(fit.slope)} per ${per}`;
     const residual = `${(100 * fit.residual).toFixed(0)}%`;
     const fleet = `${format(fit.at(fleetSize))} at ${fleetSize}`;
-    return `| ${[role, mechanism, quantity, shown, slope, format(fit.intercept), residual, fleet].join(" | ")} |`;
+    return `| ${[role, mechanism, quantity, measured, slope, format(fit.intercept), residual, fleet].join(" | ")} |`;
 }
 
 function median(values: readonly number[]): number {
@@ -31,7 +31,7 @@
     return Math.abs(value) >= 100 ? value.toFixed(0) : String(Number(value.toPrecision(3)));
 }
 
-function machine(): string {
+function describeMachine(): string {
     const gibibytes = (totalmem() / 2 ** 30).toFixed(0);
     const load = loadavg()[0]?.toFixed(1);
     const day = new Date().toISOString().slice(0, 10);
@@ -41,8 +41,8 @@
         + `${load} at the start.`;
 }
 
-const started = machine();
+const machineAtStart = describeMachine();
 const rows = measurements.map(measureRow);
-const table = [started, "", header, ...rows].join("\n");
+const table = [machineAtStart, "", header, ...rows].join("\n");
 process.stdout.write(`${table}\n`);
-writeFileSync(page, replaceSection(readFileSync(page, "utf8"), "slopes", table));
+writeFileSync(pageUrl, replaceSection(readFileSync(pageUrl, "utf8"), "slopes", table));
--- a/packages/capacity/src/index.ts
+++ b/packages/capacity/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Slopes of memory and processor time behind docs/CAPACITY.md.
+ * Measures how memory and processor time grow with size, for docs/CAPACITY.md.
  *
  * @packageDocumentation
  */
-export { fitSlope, type Point, type Slope } from "./lib/fitSlope.js";
+export { fitLine, type LineFit, type Point } from "./lib/fitLine.js";
 export { replaceSection } from "./lib/replaceSection.js";
--- a/packages/capacity/src/lib/fitSlope.ts
+++ b/packages/capacity/src/lib/fitLine.ts
@@ -1,35 +1,36 @@
 /**
- * One measured pair.
+ * A measured value at one size.
  *
  * @public
  */
 export interface Point {
     /** The size that was varied. */
     readonly x: number;
+    /** The value measured at this size. */
     readonly y: number;
 }
 
 /**
- * A line through measured points.
+ * A line fitted to measured points.
  *
  * @public
  */
-export interface Slope {
+export interface LineFit {
     readonly slope: number;
     readonly intercept: number;
-    /** The greatest distance of a point from the line, as a share of the greatest measured value. */
+    /** The largest vertical distance of a point from the line, as a fraction of the largest absolute measured value. */
     readonly residual: number;
-    /** The value that the line gives at a size. */
+    /** The value of the line at a size. */
     at(x: number): number;
 }
 
 /**
- * Fits the line with the least squared error.
+ * Fits a line by least squares.
  *
- * @param points - At least two points of different size.
+ * @param points - At least two points with different sizes.
  * @public
  */
-export function fitSlope(points: readonly Point[]): Slope {
+export function fitLine(points: readonly Point[]): LineFit {
     const meanX = mean(points.map(point => point.x));
     const meanY = mean(points.map(point => point.y));
     const covariance = mean(points.map(({ x, y }) => (x - meanX) * (y - meanY)));
@@ -37,8 +38,8 @@
     const slope = covariance / variance;
     const intercept = meanY - slope * meanX;
     const at = (x: number): number => intercept + slope * x;
-    const greatest = Math.max(...points.map(({ y }) => Math.abs(y)));
-    const residual = Math.max(...points.map(({ x, y }) => Math.abs(y - at(x)))) / greatest;
+    const maxMagnitude = Math.max(...points.map(({ y }) => Math.abs(y)));
+    const residual = Math.max(...points.map(({ x, y }) => Math.abs(y - at(x)))) / maxMagnitude;
     return { slope, intercept, residual, at };
 }
 
--- a/packages/capacity/src/lib/measurements.ts
+++ b/packages/capacity/src/lib/measurements.ts
@@ -2,7 +2,7 @@
 import { createRouter, createWorkQueue, type Router, type RoutingTarget } from "@waxwingspar/policy";
 import { type LiveHost } from "@waxwingspar/stores";
 import { assert, ManualClock, seededRandom } from "@waxwingspar/utils";
-import { bytesKept, timePerRun } from "./memory.js";
+import { measureRetainedBytes, measureTimePerRun } from "./memory.js";
 
 /**
  * One quantity that is measured at several sizes.
@@ -12,19 +12,19 @@
 export interface Measurement {
     readonly role: string;
     readonly mechanism: string;
-    /** What is counted, with its unit. */
+    /** What is measured, with its unit. */
     readonly quantity: string;
-    /** What is varied. */
+    /** The unit of the size, such as a target or a request. */
     readonly per: string;
     readonly sizes: readonly number[];
-    /** The size at the fleet that docs/CAPACITY.md plans for. */
+    /** The size in the fleet that docs/CAPACITY.md plans for. */
     readonly fleetSize: number;
     readonly measure: (size: number) => number;
 }
 
 const layers = 80;
-const stagesOfChain = 8;
-const layersOfStage = layers / stagesOfChain;
+const stagesPerChain = 8;
+const layersPerStage = layers / stagesPerChain;
 const dataCentres = 18;
 const organisations = 830;
 const layerRangeTargets = [837, 1675, 3350, 6700];
@@ -39,7 +39,7 @@
         per: "target",
         sizes: layerRangeTargets,
         fleetSize: 6700,
-        measure: size => kibibytes(bytesKept(() => filledRouter(size))),
+        measure: size => toKibibytes(measureRetainedBytes(() => createFilledRouter(size))),
     },
     {
         role: "entry",
@@ -48,16 +48,16 @@
         per: "target",
         sizes: layerRangeTargets,
         fleetSize: 6700,
-        measure: size => chooseTime(filledRouter(size), 1),
+        measure: size => measureChooseTime(createFilledRouter(size), 1),
     },
     {
         role: "entry",
         mechanism: "router: choose a chain of eight targets",
         quantity: "processor time, µs",
         per: "target",
-        sizes: layerRangeTargets.map(size => size * stagesOfChain),
+        sizes: layerRangeTargets.map(size => size * stagesPerChain),
         fleetSize: 53_600,
-        measure: size => chooseTime(filledRouter(size, stagesOfChain), stagesOfChain),
+        measure: size => measureChooseTime(createFilledRouter(size, stagesPerChain), stagesPerChain),
     },
     {
         role: "agent",
@@ -66,7 +66,7 @@
         per: "request",
         sizes: [64, 256, 1024, 4096],
         fleetSize: 246,
-        measure: size => kibibytes(bytesKept(() => filledQueue(size))),
+        measure: size => toKibibytes(measureRetainedBytes(() => createFilledQueue(size))),
     },
     {
         role: "agent",
@@ -75,7 +75,7 @@
         per: "request held",
         sizes: [64, 256, 1024, 4096],
         fleetSize: 246,
-        measure: queueTime,
+        measure: measureQueueTime,
     },
     {
         role: "every process",
@@ -84,7 +84,7 @@
         per: "process",
         sizes: processCounts,
         fleetSize: 8500,
-        measure: size => kibibytes(bytesKept(() => filledMembership(size))),
+        measure: size => toKibibytes(measureRetainedBytes(() => createFilledMembership(size))),
     },
     {
         role: "every process",
@@ -93,7 +93,7 @@
         per: "resource",
         sizes: [1500, 3000, 6000, 12_000],
         fleetSize: 11_500,
-        measure: size => kibibytes(bytesKept(() => filledState(size))),
+        measure: size => toKibibytes(measureRetainedBytes(() => createFilledState(size))),
     },
     {
         role: "every process",
@@ -102,15 +102,15 @@
         per: "resource",
         sizes: [1500, 3000, 6000, 12_000],
         fleetSize: 11_500,
-        measure: applyTime,
+        measure: measureApplyTime,
     },
 ];
 
-function kibibytes(bytes: number): number {
+function toKibibytes(bytes: number): number {
     return bytes / 1024;
 }
 
-function routingTarget(index: number, stages: number): RoutingTarget {
+function createRoutingTarget(index: number, stages: number): RoutingTarget {
     const stage = index % stages;
     const width = layers / stages;
     const range = { model: "m", version: "v1", first: stage * width, last: stage * width + width - 1 };
@@ -128,7 +128,7 @@
     };
 }
 
-function filledRouter(size: number, stages = 1): Router {
+function createFilledRouter(size: number, stages = 1): Router {
     const router = createRouter({
         clock: new ManualClock(),
         random: seededRandom(1),
@@ -136,11 +136,11 @@
         dataCentre: "dc1",
         region: "r1",
     });
-    router.update(Array.from({ length: size }, (_unused, index) => routingTarget(index, stages)));
+    router.update(Array.from({ length: size }, (_unused, index) => createRoutingTarget(index, stages)));
     return router;
 }
 
-function chooseTime(router: Router, stages: number): number {
+function measureChooseTime(router: Router, stages: number): number {
     const request = {
         model: "m",
         version: "v1",
@@ -149,17 +149,17 @@
         prefix: [],
         exclude: new Set<string>(),
     };
-    return timePerRun(() => {
+    return measureTimePerRun(() => {
         const chosen = router.choose(request);
         if (chosen.isErr || chosen.value.stages.length !== stages) {
-            throw new Error(`no chain of ${stages} targets of ${layersOfStage} layers each`);
+            throw new Error(`no chain of ${stages} targets of ${layersPerStage} layers each`);
         }
         chosen.value.end("completed");
     });
 }
 
-function filledQueue(size: number) {
-    // Admission is not what is measured here: every request is to be held.
+function createFilledQueue(size: number) {
+    // Admission control is not measured here, so the settings make the queue accept every request.
     const queue = createWorkQueue({
         clock: new ManualClock(),
         slots: size,
@@ -170,7 +170,10 @@
     for (let index = 0; index < size; index++) {
         offer(queue, `r${index}`, index);
     }
-    assert(queue.running + queue.queued === size, `${queue.running} run and ${queue.queued} wait instead of ${size}`);
+    assert(
+        queue.running + queue.queued === size,
+        `${queue.running} running and ${queue.queued} queued requests, expected ${size}`,
+    );
     return queue;
 }
 
@@ -187,15 +190,15 @@
     });
 }
 
-function queueTime(size: number): number {
-    const queue = filledQueue(size);
-    return timePerRun(index => {
+function measureQueueTime(size: number): number {
+    const queue = createFilledQueue(size);
+    return measureTimePerRun(index => {
         queue.finish(`r${index}`, 100);
         offer(queue, `r${index + size}`, index + size);
     });
 }
 
-function liveHost(index: number): LiveHost {
+function createLiveHost(index: number): LiveHost {
     return {
         process: `process-${index}`,
         role: index % 5 === 0 ? "entry" : "agent",
@@ -207,30 +210,30 @@
     };
 }
 
-function filledMembership(size: number): Membership {
-    const hosts = Array.from({ length: size }, (_unused, index) => liveHost(index));
-    const membership = new Membership({ self: { ...liveHost(0), incarnation: "i" }, clock: new ManualClock() });
+function createFilledMembership(size: number): Membership {
+    const hosts = Array.from({ length: size }, (_unused, index) => createLiveHost(index));
+    const membership = new Membership({ self: { ...createLiveHost(0), incarnation: "i" }, clock: new ManualClock() });
     membership.updateList(hosts);
     return membership;
 }
 
-function targetChange(index: number, slots: number) {
+function createTargetChange(index: number, slots: number) {
     const place = { host: `10.${index >> 16}.${(index >> 8) & 255}.${index & 255}`, port: 7000, dataCentre: "dc1" };
     const spec = specSchemas.target.parse({ ...place, slots });
     return { kind: "target" as const, name: `target-${index}`, spec };
 }
 
-function filledState(size: number): RevisionState {
+function createFilledState(size: number): RevisionState {
     const state = new RevisionState();
-    const changes = Array.from({ length: size }, (_unused, index) => targetChange(index, 32));
+    const changes = Array.from({ length: size }, (_unused, index) => createTargetChange(index, 32));
     state.apply([nextEntry(state, changes, { writeId: "w", changeId: "c" })]);
     return state;
 }
 
-function applyTime(size: number): number {
-    const state = filledState(size);
-    return timePerRun(index => {
+function measureApplyTime(size: number): number {
+    const state = createFilledState(size);
+    return measureTimePerRun(index => {
         const names = { writeId: `w${index}`, changeId: `c${index}` };
-        state.apply([nextEntry(state, [targetChange(index % size, 33 + index)], names)]);
+        state.apply([nextEntry(state, [createTargetChange(index % size, 33 + index)], names)]);
     });
 }
--- a/packages/capacity/src/lib/memory.ts
+++ b/packages/capacity/src/lib/memory.ts
@@ -1,5 +1,5 @@
-/** Bytes in use after a collection, typed arrays included. Needs `--expose-gc`. @internal */
-export function usedBytes(): number {
+/** Bytes in use after a garbage collection, including typed arrays. Needs `--expose-gc`. @internal */
+export function readUsedBytes(): number {
     globalThis.gc?.();
     globalThis.gc?.();
     const { heapUsed, arrayBuffers } = process.memoryUsage();
@@ -7,44 +7,46 @@
 }
 
 /** Processor time of this process so far, in microseconds. @internal */
-export function processorTime(): number {
+export function readProcessorTime(): number {
     const { user, system } = process.cpuUsage();
     return user + system;
 }
 
-/** Keeps a value reachable while its memory is read. */
-const holder: { kept?: unknown; } = {};
+/** Keeps values reachable while the memory in use is read. */
+const holder: { retained?: unknown; } = {};
 
 /**
- * Bytes that a value keeps: the difference that a second one makes, once code and tables that are built at the first
- * use are there.
+ * Bytes that a value retains. Measured on a second value, so that code and tables that are created on first use do not
+ * count.
  *
  * @internal
  */
-export function bytesKept(build: () => unknown): number {
+export function measureRetainedBytes(build: () => unknown): number {
     const first = build();
-    const before = usedBytes();
-    holder.kept = [first, build()];
-    const after = usedBytes();
-    holder.kept = undefined;
+    const before = readUsedBytes();
+    holder.retained = [first, build()];
+    const after = readUsedBytes();
+    holder.retained = undefined;
     return after - before;
 }
 
 /**
- * Processor time of one run of an action, in microseconds: the mean over enough runs to take a tenth of a second.
+ * Processor time of one run of an action, in microseconds: the mean over a batch of runs that takes more than a tenth
+ * of a second.
  *
  * @internal
  */
-export function timePerRun(action: (index: number) => void): number {
-    const enough = 100_000;
+export function measureTimePerRun(action: (index: number) => void): number {
+    /** Microseconds. */
+    const minBatchTime = 100_000;
     let runs = 0;
     for (let batch = 16;; batch *= 2) {
-        const before = processorTime();
+        const before = readProcessorTime();
         for (let index = 0; index < batch; index++) {
             action(runs++);
         }
-        const used = processorTime() - before;
-        if (used > enough) {
+        const used = readProcessorTime() - before;
+        if (used > minBatchTime) {
             return used / batch;
         }
     }
--- a/packages/capacity/src/lib/replaceSection.ts
+++ b/packages/capacity/src/lib/replaceSection.ts
@@ -1,7 +1,7 @@
 import { assert } from "@waxwingspar/utils";
 
 /**
- * Replaces what stands between the markers `<!-- begin NAME -->` and `<!-- end NAME -->` of a Markdown page.
+ * Replaces the text between the markers `<!-- begin NAME -->` and `<!-- end NAME -->` of a Markdown page.
  *
  * @param page - The text of the page. It must hold both markers.
  * @public
