--- a/packages/load/src/index.ts
+++ b/packages/load/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * An open-loop load generator for a running site: plan, run, reports.
+ * An open-loop load generator for a running site: plans calls, sends them and reports the latencies.
  *
  * @packageDocumentation
  */
--- a/packages/load/src/lib/plan/LoadSettings.ts
+++ b/packages/load/src/lib/plan/LoadSettings.ts
@@ -1,36 +1,36 @@
-/** For whom calls are made. @public */
+/** A caller in whose name calls are made. @public */
 export interface LoadCaller {
     readonly name: string;
-    /** The bearer token; without one the call is anonymous. */
+    /** The bearer token; calls without one are anonymous. */
     readonly token?: string;
 }
 
 /**
- * What load to make. Everything that is sent, and when, follows from these values alone.
+ * The load to generate. These values alone determine what is sent and when.
  *
  * @public
  */
 export interface LoadSettings {
-    /** Calls that arrive in a second, on average. */
+    /** Mean arrival rate, in calls per second. */
     readonly rate: number;
-    /** Seconds over which calls arrive. */
+    /** Seconds during which calls arrive. */
     readonly duration: number;
     readonly seed: number;
     readonly model: string;
-    /** Words of each prompt; how many tokens these are is the model's affair. */
+    /** Number of words in each prompt; how many tokens they make depends on the model. */
     readonly promptTokens: number;
     readonly maxTokens: number;
-    /** Share of the words of each prompt that all prompts begin with, from 0 to 1. */
+    /** Fraction of each prompt's words that form a prefix shared by all prompts, from 0 to 1. */
     readonly sharedPrefix: number;
-    /** The calls take these in turn, by chance. At least one. */
+    /** Each call uses one of these, chosen at random. At least one. */
     readonly callers: readonly LoadCaller[];
-    /** Share of the calls that go to the plain service, from 0 to 1. */
+    /** Fraction of the calls that go to the plain service, from 0 to 1. */
     readonly serviceShare: number;
     /** Name and path of the plain service, such as `records/work-orders`. */
     readonly service: string;
 }
 
-/** A call of the plan. @public */
+/** A planned call. @public */
 export interface PlannedCall {
     /** Milliseconds from the start of the run. */
     readonly at: number;
--- a/packages/load/src/lib/plan/planCalls.test.ts
+++ b/packages/load/src/lib/plan/planCalls.test.ts
@@ -32,7 +32,7 @@
     const gaps = calls.map(({ at }, index) => at - (calls[index - 1]?.at ?? 0));
     assert.ok(gaps.every(gap => gap >= 0));
     near(calls.length, 20_000, 500);
-    // Of exponential gaps, e^-1 and e^-3 are longer than one and three means.
+    // Of exponentially distributed gaps, a fraction of e^-1 exceeds one mean, and e^-3 exceeds three means.
     near(share(gaps.filter(gap => gap > 5).length, gaps.length), Math.exp(-1), 0.02);
     near(share(gaps.filter(gap => gap > 15).length, gaps.length), Math.exp(-3), 0.01);
 });
@@ -42,13 +42,13 @@
     assert.notDeepEqual(planCalls({ ...settings, seed: 6 })[0], planCalls(settings)[0]);
 });
 
-test("the first arrival of small seeds is one of a Poisson process too", () => {
+test("the first arrival follows a Poisson process for small seeds, too", () => {
     const seeds = Array.from({ length: 400 }, (_, seed) => seed);
     const firsts = seeds.map(seed => planCalls({ ...settings, duration: 1, seed })[0]?.at ?? Infinity);
     near(share(firsts.filter(first => first > 5).length, firsts.length), Math.exp(-1), 0.08);
 });
 
-test("calls keep the shares of services, organisations and common beginnings", () => {
+test("calls have the configured shares of services, organisations and common prefixes", () => {
     const calls = planCalls(settings);
     near(share(calls.filter(({ kind }) => kind === "service").length, calls.length), 0.25, 0.02);
     near(share(calls.filter(({ caller }) => caller.name === "yards").length, calls.length), 0.5, 0.02);
@@ -58,6 +58,6 @@
     assert.ok(new Set(prompts.map(prompt => prompt.split(" ").slice(0, 11).join(" "))).size > 1);
 });
 
-test("a plan without bound is refused", () => {
+test("a plan with too many calls is refused", () => {
     assert.throws(() => planCalls({ ...settings, rate: 1e6 }), RangeError);
 });
--- a/packages/load/src/lib/report/Latencies.ts
+++ b/packages/load/src/lib/report/Latencies.ts
@@ -2,9 +2,9 @@
 
 /** The histograms record whole microseconds up to an hour; longer times count as an hour. */
 const microsecondsPerMillisecond = 1000;
-const highest = 3_600_000_000;
+const maxMicroseconds = 3_600_000_000;
 
-/** A distribution of times, in milliseconds. @public */
+/** A distribution of latencies, in milliseconds. @public */
 export interface LatencySummary {
     readonly count: number;
     readonly mean: number;
@@ -17,22 +17,24 @@
 }
 
 /**
- * Times of one kind.
+ * Collects latencies of one kind in a histogram.
  *
  * @internal
  */
 export class Latencies {
     private readonly histogram: Histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: highest,
+        highestTrackableValue: maxMicroseconds,
         numberOfSignificantValueDigits: 3,
         bitBucketSize: 64,
         useWebAssembly: false,
     });
 
-    /** @param time - Milliseconds; fractions count. */
+    /** @param time - Milliseconds, with fractions. */
     record(time: number): void {
-        this.histogram.recordValue(Math.min(highest, Math.max(0, Math.round(time * microsecondsPerMillisecond))));
+        this.histogram.recordValue(
+            Math.min(maxMicroseconds, Math.max(0, Math.round(time * microsecondsPerMillisecond))),
+        );
     }
 
     summary(): LatencySummary {
@@ -50,7 +52,7 @@
         };
     }
 
-    /** Milliseconds below which a share of the times lies; 0 without any time. */
+    /** The latency at a percentile, in milliseconds; 0 if none was recorded. */
     percentile(percentile: number): number {
         const { histogram } = this;
         return histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(percentile) / microsecondsPerMillisecond;
--- a/packages/load/src/lib/report/LoadSummary.ts
+++ b/packages/load/src/lib/report/LoadSummary.ts
@@ -4,37 +4,38 @@
 
 export { type LatencySummary } from "./Latencies.js";
 
-/** Bounds on answers of models, in milliseconds. @public */
+/** Latency bounds on answers of models. @public */
 export interface LoadBounds {
-    /** From the planned arrival to the first token. */
+    /** Milliseconds from the planned arrival to the first token. */
     readonly firstToken: number;
-    /** Between two tokens of one answer. */
+    /** Milliseconds between two tokens of one answer. */
     readonly token: number;
-    /** The share of tokens, and of requests, that must keep the bounds, such as 0.95. */
+    /** The fraction of tokens, and of requests, that must keep the bounds, such as 0.95. */
     readonly share: number;
 }
 
-/** Points of a distribution: the share in hundredths, and milliseconds. @public */
+/** Points of a distribution: a percentile and its latency in milliseconds. @public */
 export type Curve = readonly (readonly [number, number])[];
 
 /** The figures of a run. @public */
 export interface LoadSummary {
     readonly calls: number;
-    /** Seconds from the first planned arrival to the last end. */
+    /** Seconds from the first planned arrival to the end of the last call. */
     readonly seconds: number;
-    /** Ends by their result code, or by name where the site gave none. */
+    /** Number of calls by result code, or by the name of the outcome if the site sent no code. */
     readonly outcomes: Readonly<Record<string, number>>;
     readonly firstToken: LatencySummary;
     readonly token: LatencySummary;
     readonly total: LatencySummary;
     readonly service: LatencySummary;
-    /** How late the generator itself sent calls. */
+    /** How late the generator sent calls, from their planned arrival. */
     readonly sendDelay: LatencySummary;
     readonly bounds: LoadBounds;
-    /** Model requests within the bounds: how many, their share of all that were planned, and how many a second. */
+    /** Model requests within the bounds: their count, their fraction of the planned ones, and their rate per second. */
     readonly good: { readonly count: number; readonly share: number; readonly rate: number; };
-    /** Tokens of a second in completed answers, as the site counted them. */
+    /** Answer tokens per second, as counted by the site; only answers that report their usage are included. */
     readonly tokenRate: number;
+    /** Mean number of tokens in a prompt, as counted by the site. */
     readonly promptTokens: number;
     readonly curves: { readonly firstToken: Curve; readonly token: Curve; readonly total: Curve; };
 }
@@ -43,16 +44,16 @@
 const curvePoints = [0, 1, 2, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 97, 98, 99, 99.5, 99.9, 100];
 
 /**
- * Reduces the records of a run to figures. Waiting counts from the planned arrival of a call.
+ * Summarises the records of a run. Latencies are measured from the planned arrival of a call.
  *
  * @public
  */
 export function summarize(records: readonly LoadRecord[], bounds: LoadBounds): LoadSummary {
-    const times = gather(records);
+    const times = collectLatencies(records);
     const models = records.filter(({ call }) => call.kind === "model");
-    const good = models.filter(record => isGood(record, bounds)).length;
-    const seconds = spanOf(records);
-    const counted = models.filter(({ end }) => end.promptTokens !== undefined);
+    const good = models.filter(record => isWithinBounds(record, bounds)).length;
+    const seconds = secondsOf(records);
+    const withUsage = models.filter(({ end }) => end.promptTokens !== undefined);
     return {
         calls: records.length,
         seconds,
@@ -64,13 +65,13 @@
         sendDelay: times.sendDelay.summary(),
         bounds,
         good: { count: good, share: ratio(good, models.length), rate: ratio(good, seconds) },
-        tokenRate: ratio(sum(counted.map(({ end }) => end.answerTokens ?? 0)), seconds),
-        promptTokens: ratio(sum(counted.map(({ end }) => end.promptTokens ?? 0)), counted.length),
+        tokenRate: ratio(sum(withUsage.map(({ end }) => end.answerTokens ?? 0)), seconds),
+        promptTokens: ratio(sum(withUsage.map(({ end }) => end.promptTokens ?? 0)), withUsage.length),
         curves: { firstToken: curve(times.firstToken), token: curve(times.token), total: curve(times.total) },
     };
 }
 
-function gather(records: readonly LoadRecord[]) {
+function collectLatencies(records: readonly LoadRecord[]) {
     const times = {
         firstToken: new Latencies(),
         token: new Latencies(),
@@ -102,8 +103,8 @@
     return times.slice(1).map((time, index) => time - (times[index] ?? time));
 }
 
-/** Whether an answer came whole, began in time, and enough of its tokens followed in time. */
-function isGood({ end, dueAt }: LoadRecord, { firstToken, token, share }: LoadBounds): boolean {
+/** Whether an answer completed, its first token came within its bound, and so did enough of the further tokens. */
+function isWithinBounds({ end, dueAt }: LoadRecord, { firstToken, token, share }: LoadBounds): boolean {
     const first = end.pieceTimes[0];
     if (end.outcome !== "completed" || first === undefined || first - dueAt > firstToken) {
         return false;
@@ -121,7 +122,7 @@
     return Object.fromEntries([...counts].sort(([, left], [, right]) => right - left));
 }
 
-function spanOf(records: readonly LoadRecord[]): number {
+function secondsOf(records: readonly LoadRecord[]): number {
     const first = records.reduce((least, { dueAt }) => Math.min(least, dueAt), Infinity);
     const last = records.reduce((most, { endedAt }) => Math.max(most, endedAt), -Infinity);
     return records.length === 0 ? 0 : (last - first) / millisecondsPerSecond;
--- a/packages/load/src/lib/report/formatMarkdown.ts
+++ b/packages/load/src/lib/report/formatMarkdown.ts
@@ -3,10 +3,10 @@
 const percent = 100;
 
 /**
- * Writes the figures of a run as Markdown.
+ * Formats the summary of a run as Markdown.
  *
- * @param title - The heading, such as what was run.
- * @param notes - Lines on the machine, the command and the settings.
+ * @param title - The heading.
+ * @param notes - Lines that describe the machine, the command and the settings.
  * @public
  */
 export function formatMarkdown(title: string, notes: readonly string[], summary: LoadSummary): string {
--- a/packages/load/src/lib/report/plotLatencies.ts
+++ b/packages/load/src/lib/report/plotLatencies.ts
@@ -8,11 +8,11 @@
 
 const size = { width: 900, height: 480 };
 
-/** Times below this many milliseconds are drawn at its height, as the axis is logarithmic. */
-const least = 1;
+/** Lower end of the logarithmic axis in milliseconds; shorter latencies are drawn at this value. */
+const minPlotted = 1;
 
 /**
- * Draws the latencies of a run as curves over the share of calls, as SVG.
+ * Draws the latencies of a run as curves over their percentiles, as SVG.
  *
  * @public
  */
@@ -24,7 +24,7 @@
         legend: { top: 40, itemGap: 40 },
         grid: { top: 100, bottom: 60, left: 80, right: 90 },
         xAxis: { type: "value", min: 0, max: 100, name: "share of the times (%)", nameLocation: "middle", nameGap: 30 },
-        yAxis: { type: "log", name: "milliseconds", min: least },
+        yAxis: { type: "log", name: "milliseconds", min: minPlotted },
         series: [
             line("first token", curves.firstToken, bounds.firstToken),
             line("between tokens", curves.token, bounds.token),
@@ -37,7 +37,7 @@
 }
 
 function line(name: string, curve: Curve, bound?: number): object {
-    const data = curve.map(([share, time]) => [share, Math.max(least, time)]);
+    const data = curve.map(([share, time]) => [share, Math.max(minPlotted, time)]);
     const mark = { silent: true, symbol: "none", label: { formatter: `${bound} ms` }, data: [{ yAxis: bound }] };
     return { name, type: "line", symbolSize: 4, data, markLine: bound === undefined ? undefined : mark };
 }
--- a/packages/load/src/lib/report/reports.test.ts
+++ b/packages/load/src/lib/report/reports.test.ts
@@ -14,7 +14,7 @@
     return { call, end: whole, dueAt: 0, sentAt: 0, endedAt: 4000 };
 }
 
-/** An answer of 101 tokens of which some follow after 80 ms and the others after 20 ms. */
+/** An answer of 101 tokens. The first `late` intervals between tokens take 80 ms, the others 20 ms. */
 function answer(first: number, late: number): Partial<CallEnd> {
     const pieceTimes = [first];
     for (let index = 0; index < 100; index++) {
@@ -29,7 +29,7 @@
     assert.equal(goodOf({ ...answer(10, 0), outcome: "refused", code: 1301 }), 0);
 });
 
-test("the reports tell outcomes by number, and the figures of the run", () => {
+test("the report lists outcomes by result code and the figures of the run", () => {
     const refused = record({ outcome: "refused", code: 1001 });
     const summary = summarize([record(answer(100, 0)), refused, record(answer(700, 0))], bounds);
     assert.deepEqual([summary.good.count, summary.seconds, summary.tokenRate], [1, 4, 50.5]);
@@ -40,7 +40,7 @@
     assert.match(markdown, /1 requests, 33\.3% of those planned, 0\.25\/s/);
 });
 
-test("the plot is one SVG with a curve for each kind of time", () => {
+test("the plot is one SVG with a curve for each kind of latency", () => {
     const svg = plotLatencies("Trial", summarize([record(answer(100, 0))], bounds));
     assert.match(svg, /^<svg [\s\S]*<\/svg>$/);
     for (const text of ["Trial", "first token", "between tokens", "whole answer", "540 ms", "72 ms"]) {
--- a/packages/load/src/lib/run/AnswerReader.ts
+++ b/packages/load/src/lib/run/AnswerReader.ts
@@ -9,57 +9,60 @@
 });
 const dataPrefix = "data: ";
 
-/** The most text that is kept of a line or of an answer that is not a stream. */
-const maxKept = 1_048_576;
+/** Maximum number of characters buffered of a line, or of an answer that is not a stream. */
+const maxBufferLength = 1_048_576;
 
 /**
- * Reads one answer, piece by piece: a stream of server-sent events, or a whole body.
+ * Reads one answer incrementally: a stream of server-sent events, or a plain body.
  *
  * @internal
  */
 export class AnswerReader {
-    private kept = "";
-    private finished = false;
+    private buffer = "";
+    private hasFinishReason = false;
+    /** Whether the stream ended with `[DONE]` after a finish reason. */
     private whole = false;
     private code: number | undefined;
     private usage: z.infer<typeof chunkSchema>["usage"];
     private readonly pieceTimes: number[] = [];
-    private readonly streamed: boolean;
+    private readonly isStream: boolean;
 
-    /** @param stream - True when a stream was asked for; an answer with an error status is never one. */
+    /** @param stream - Whether a stream was requested; an answer with any status but 200 is read as a plain body. */
     constructor(private readonly clock: Clock, private readonly status: number, stream: boolean) {
-        this.streamed = stream && status === 200;
+        this.isStream = stream && status === 200;
     }
 
-    take(piece: string): void {
-        if (!this.streamed) {
-            this.kept = (this.kept + piece).slice(0, maxKept);
+    /** Reads the next part of the body. */
+    read(piece: string): void {
+        if (!this.isStream) {
+            this.buffer = (this.buffer + piece).slice(0, maxBufferLength);
             return;
         }
-        const lines = (this.kept + piece).split("\n");
-        this.kept = (lines.pop() ?? "").slice(0, maxKept);
-        lines.filter(line => line.startsWith(dataPrefix)).forEach(line => this.takeData(line.slice(dataPrefix.length)));
+        const lines = (this.buffer + piece).split("\n");
+        this.buffer = (lines.pop() ?? "").slice(0, maxBufferLength);
+        lines.filter(line => line.startsWith(dataPrefix)).forEach(line => this.readData(line.slice(dataPrefix.length)));
     }
 
+    /** Returns the result of an answer whose body has ended. */
     end(): CallEnd {
-        if (!this.streamed && (this.status < 200 || this.status > 299)) {
-            this.code = errorCode(parseJson(this.kept));
+        if (!this.isStream && (this.status < 200 || this.status > 299)) {
+            this.code = errorCode(parseJson(this.buffer));
             return this.result(this.code === undefined ? "broken" : "refused");
         }
-        if (!this.streamed || this.whole) {
+        if (!this.isStream || this.whole) {
             return this.result("completed");
         }
         return this.result(this.code === undefined ? "broken" : "refused");
     }
 
-    /** The end of an answer that was cut off. */
-    cut(outcome: "broken" | "not connected" | "timed out"): CallEnd {
+    /** Returns the result of an answer whose body did not end. */
+    endIncomplete(outcome: "broken" | "not connected" | "timed out"): CallEnd {
         return this.result(outcome);
     }
 
-    private takeData(data: string): void {
+    private readData(data: string): void {
         if (data === "[DONE]") {
-            this.whole = this.finished;
+            this.whole = this.hasFinishReason;
             return;
         }
         const value = parseJson(data);
@@ -70,7 +73,7 @@
         }
         this.usage = chunk.data.usage ?? this.usage;
         const choice = chunk.data.choices[0];
-        this.finished ||= typeof choice?.finish_reason === "string";
+        this.hasFinishReason ||= typeof choice?.finish_reason === "string";
         if (choice?.text !== undefined && choice.text !== "") {
             this.pieceTimes.push(this.clock.now());
         }
--- a/packages/load/src/lib/run/CallEnd.ts
+++ b/packages/load/src/lib/run/CallEnd.ts
@@ -1,22 +1,23 @@
 /**
- * How a call ended, as its caller sees it.
+ * The result of a call, as its caller sees it.
  *
- * - `completed`: the whole answer came.
- * - `refused`: the site gave a numbered code, at once or in mid-stream.
- * - `broken`: the answer broke off, or could not be read.
+ * - `completed`: the whole answer arrived.
+ * - `refused`: the site sent an error with a result code, instead of an answer or in mid-stream.
+ * - `broken`: the answer was truncated or could not be read.
  * - `not connected`: no connection could be opened.
- * - `timed out`: the generator waited no longer.
- * - `not sent`: too many calls were open already.
+ * - `timed out`: the answer did not end within the generator's timeout.
+ * - `not sent`: the maximum number of calls was already in flight.
  *
  * @public
  */
 export interface CallEnd {
     readonly outcome: "completed" | "refused" | "broken" | "not connected" | "timed out" | "not sent";
-    /** The number of the result code, for a call that was refused. */
+    /** The number of the result code of a refused call. */
     readonly code?: number;
-    /** When each piece of a streamed text came, by the clock. */
+    /** When each piece of a streamed text arrived, in milliseconds of the clock. */
     readonly pieceTimes: readonly number[];
-    /** Tokens of the prompt and of the answer as the site counted them. */
+    /** Tokens of the prompt, as counted by the site. */
     readonly promptTokens?: number;
+    /** Tokens of the answer, as counted by the site. */
     readonly answerTokens?: number;
 }
--- a/packages/load/src/lib/run/HttpCaller.test.ts
+++ b/packages/load/src/lib/run/HttpCaller.test.ts
@@ -14,7 +14,7 @@
     body: "{}",
 };
 
-async function callerOf(context: TestContext, listener: RequestListener, timeout = 60_000): Promise<HttpCaller> {
+async function startSite(context: TestContext, listener: RequestListener, timeout = 60_000): Promise<HttpCaller> {
     const server = createServer(listener);
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
     const { port } = server.address() as AddressInfo;
@@ -35,9 +35,9 @@
 const last = event({ choices: [{ text: "", finish_reason: "length" }] });
 const usage = event({ choices: [], usage: { prompt_tokens: 9, completion_tokens: 2 } });
 
-test("reads a whole stream, in whatever pieces it comes", async context => {
+test("reads a whole stream, even if every byte arrives on its own", async context => {
     let authorization: string | undefined;
-    const caller = await callerOf(context, (request, response) => {
+    const caller = await startSite(context, (request, response) => {
         authorization = request.headers.authorization;
         const bytes = Buffer.from(`${token}${token}${last}${usage}data: [DONE]\n\n`);
         response.writeHead(200, { "content-type": "text/event-stream" });
@@ -52,31 +52,31 @@
     assert.deepEqual([outcome, pieceTimes.length, promptTokens, answerTokens], ["completed", 2, 9, 2]);
 });
 
-test("takes a numbered refusal, at once or in mid-stream", async context => {
+test("reads the result code of a refusal, both before and during a stream", async context => {
     const refusal = { error: { number: 1301, execution: "not run" } };
     for (const [status, body] of [[503, JSON.stringify(refusal)], [200, token + event(refusal)]] as const) {
-        const caller = await callerOf(context, (_, response) => response.writeHead(status).end(body));
+        const caller = await startSite(context, (_, response) => response.writeHead(status).end(body));
         const { outcome, code, pieceTimes } = await caller.call(call);
         assert.deepEqual([outcome, code], ["refused", 1301]);
-        assert.equal(pieceTimes.length, status === 200 ? 1 : 0, "the body of an error is no token");
+        assert.equal(pieceTimes.length, status === 200 ? 1 : 0, "the body of an error is not counted as a token");
     }
 });
 
-test("a stream that ends early is not complete", async context => {
-    const early = await callerOf(context, (_, response) => response.writeHead(200).end(token + last));
+test("a stream that ends early is not completed", async context => {
+    const early = await startSite(context, (_, response) => response.writeHead(200).end(token + last));
     assert.equal((await early.call(call)).outcome, "broken");
-    const cut = await callerOf(context, (_, response) => {
+    const cut = await startSite(context, (_, response) => {
         response.writeHead(200).write(token, () => response.destroy());
     });
     assert.equal((await cut.call(call)).outcome, "broken");
-    const unread = await callerOf(context, request => request.destroy());
+    const unread = await startSite(context, request => request.destroy());
     assert.equal((await unread.call(call)).outcome, "broken");
 });
 
-test("a site that cannot be reached, and one that does not answer", async context => {
-    const silent = await callerOf(context, () => undefined, 50);
+test("tells a site that cannot be reached from one that does not answer", async context => {
+    const silent = await startSite(context, () => undefined, 50);
     assert.equal((await silent.call(call)).outcome, "timed out");
-    const nobody = new HttpCaller(new SystemClock(), "http://127.0.0.1:1", 60_000);
-    assert.equal((await nobody.call(call)).outcome, "not connected");
-    await nobody.close();
+    const unreachable = new HttpCaller(new SystemClock(), "http://127.0.0.1:1", 60_000);
+    assert.equal((await unreachable.call(call)).outcome, "not connected");
+    await unreachable.close();
 });
--- a/packages/load/src/lib/run/HttpCaller.ts
+++ b/packages/load/src/lib/run/HttpCaller.ts
@@ -5,29 +5,29 @@
 import { AnswerReader } from "./AnswerReader.js";
 import { type CallEnd } from "./CallEnd.js";
 
-/** Milliseconds for a connection to open. */
+/** Milliseconds within which a connection must open. */
 const connectTimeout = 5000;
 
-/** Errors of a connection that was never opened. */
-const neverOpened = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ENOTFOUND", "UND_ERR_CONNECT_TIMEOUT"]);
+/** Error codes of connections that were never opened. */
+const connectErrors = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ENOTFOUND", "UND_ERR_CONNECT_TIMEOUT"]);
 
 /**
- * Makes calls to a site over HTTP.
+ * Sends calls to a site over HTTP.
  *
  * @public
  */
 export class HttpCaller {
-    private readonly connections: Agent;
+    private readonly agent: Agent;
 
     /**
-     * @param origin - Where the site takes callers, such as `http://127.0.0.1:8080`.
-     * @param timeout - Milliseconds for one call.
+     * @param origin - The address at which the site accepts callers, such as `http://127.0.0.1:8080`.
+     * @param timeout - Milliseconds within which a call must end.
      */
     constructor(private readonly clock: Clock, private readonly origin: string, private readonly timeout: number) {
-        this.connections = new Agent({ connect: { timeout: connectTimeout }, headersTimeout: 0, bodyTimeout: 0 });
+        this.agent = new Agent({ connect: { timeout: connectTimeout }, headersTimeout: 0, bodyTimeout: 0 });
     }
 
-    /** Makes a call and reads its answer to the end. It never throws. */
+    /** Sends a call and reads its answer to the end. Never rejects. */
     async call(planned: PlannedCall): Promise<CallEnd> {
         const controller = new AbortController();
         const timer = this.clock.schedule(() => controller.abort(), this.timeout);
@@ -37,13 +37,13 @@
             reader = new AnswerReader(this.clock, statusCode, planned.kind === "model");
             const decoder = new StringDecoder("utf8");
             for await (const piece of body as AsyncIterable<Buffer>) {
-                reader.take(decoder.write(piece));
+                reader.read(decoder.write(piece));
             }
             return reader.end();
         }
         catch (error) {
             const outcome = controller.signal.aborted ? "timed out" : outcomeOf(error);
-            return reader?.cut(outcome) ?? { outcome, pieceTimes: [] };
+            return reader?.endIncomplete(outcome) ?? { outcome, pieceTimes: [] };
         }
         finally {
             timer.cancel();
@@ -51,7 +51,7 @@
     }
 
     close(): Promise<void> {
-        return this.connections.destroy();
+        return this.agent.destroy();
     }
 
     private send({ path, body, caller: { token } }: PlannedCall, signal: AbortSignal) {
@@ -64,12 +64,12 @@
             },
             body,
             signal,
-            dispatcher: this.connections,
+            dispatcher: this.agent,
         });
     }
 }
 
 function outcomeOf(error: unknown): "not connected" | "broken" {
     const code = error instanceof Error && "code" in error ? String(error.code) : "";
-    return neverOpened.has(code) ? "not connected" : "broken";
+    return connectErrors.has(code) ? "not connected" : "broken";
 }
--- a/packages/load/src/lib/run/runLoad.test.ts
+++ b/packages/load/src/lib/run/runLoad.test.ts
@@ -12,7 +12,7 @@
     return { at, kind: "model", caller: { name: "anonymous" }, path: "/v1/completions", body: "{}" };
 }
 
-/** A site that serves one call at a time, in `work` milliseconds. */
+/** A site that serves one call at a time, each in `work` milliseconds. */
 function slowSite(clock: ManualClock, work: number): (call: PlannedCall) => Promise<CallEnd> {
     let freeAt = 0;
     return () => {
@@ -48,7 +48,7 @@
     assert.deepEqual((await runCalls(times, 900)).sent, times.map(time => time + 50));
 });
 
-test("waiting in a queue is counted", async () => {
+test("time spent in a queue counts as latency", async () => {
     const { records } = await runCalls([0, 10, 20, 30], 500);
     const { firstToken, good, outcomes } = summarize(records, bounds);
     assert.deepEqual(outcomes, { completed: 4 });
@@ -56,26 +56,26 @@
     assert.deepEqual([good.count, good.share], [1, 0.25]);
 });
 
-test("calls beyond the most that may be open are not sent, and are told", async () => {
+test("calls beyond the maximum in flight are not sent, and are reported", async () => {
     const { records, sent } = await runCalls([0, 10, 20, 30], 500, 2);
     assert.equal(sent.length, 2);
     const { outcomes, good } = summarize(records, bounds);
     assert.deepEqual(outcomes, { completed: 2, "not sent": 2 });
-    assert.equal(good.share, 0.25, "what was not sent counts as planned");
+    assert.equal(good.share, 0.25, "calls that were not sent count as planned");
 });
 
-test("a call that is due while the generator is held up counts from its planned time", async () => {
+test("the latency of a call that the generator sends late is measured from its planned time", async () => {
     const clock = new ManualClock();
     let records: LoadRecord[] = [];
     const send = (): Promise<CallEnd> => Promise.resolve({ outcome: "completed", pieceTimes: [clock.now()] });
-    // Every timer of the generator comes late.
-    const late: Clock = {
+    // Every timer of the generator fires after 700 ms.
+    const lateClock: Clock = {
         now: () => clock.now(),
         date: () => clock.date(),
         schedule: callback => clock.schedule(callback, 700),
     };
     void runLoad({
-        clock: late,
+        clock: lateClock,
         calls: [modelCall(0), modelCall(1)],
         send,
         maxOpen: 10,
--- a/packages/load/src/lib/run/runLoad.ts
+++ b/packages/load/src/lib/run/runLoad.ts
@@ -2,11 +2,11 @@
 import { type PlannedCall } from "../plan/LoadSettings.js";
 import { type CallEnd } from "./CallEnd.js";
 
-/** A call with its end. Times are milliseconds of the clock. @public */
+/** A call with its result. Times are in milliseconds of the clock. @public */
 export interface LoadRecord {
     readonly call: PlannedCall;
     readonly end: CallEnd;
-    /** When the call was to be sent; waiting counts from here. */
+    /** When the call was planned to be sent; latencies are measured from here. */
     readonly dueAt: number;
     readonly sentAt: number;
     readonly endedAt: number;
@@ -15,16 +15,16 @@
 /** @public */
 export interface RunLoadOptions {
     readonly clock: Clock;
-    /** In the order of their times. */
+    /** Sorted by their times. */
     readonly calls: readonly PlannedCall[];
-    /** Makes one call; it must not throw. */
+    /** Sends one call; the promise must not reject. */
     readonly send: (call: PlannedCall) => Promise<CallEnd>;
-    /** Calls that may be open at once; further ones are not sent. */
+    /** Maximum number of calls in flight; calls due beyond it are not sent. */
     readonly maxOpen: number;
 }
 
 /**
- * Sends every call at its time, whatever becomes of those before, and waits for all ends.
+ * Sends every call at its planned time, whether or not earlier ones have ended, and waits until all have ended.
  *
  * @public
  */
@@ -35,7 +35,8 @@
 class LoadRun {
     private readonly records: LoadRecord[] = [];
     private readonly startedAt: number;
-    private next = 0;
+    private nextIndex = 0;
+    /** Number of calls in flight. */
     private open = 0;
 
     constructor(
@@ -47,40 +48,40 @@
 
     sendDue(): void {
         const { clock, calls } = this.options;
-        for (let call = calls[this.next]; call !== undefined; call = calls[this.next]) {
+        for (let call = calls[this.nextIndex]; call !== undefined; call = calls[this.nextIndex]) {
             const wait = this.startedAt + call.at - clock.now();
             if (wait > 0) {
                 clock.schedule(() => this.sendDue(), wait);
                 return;
             }
-            this.next++;
-            this.begin(call);
+            this.nextIndex++;
+            this.start(call);
         }
-        this.endIfDone();
+        this.resolveIfDone();
     }
 
-    private begin(call: PlannedCall): void {
+    private start(call: PlannedCall): void {
         const { clock, send, maxOpen } = this.options;
         const sentAt = clock.now();
         if (this.open >= maxOpen) {
-            this.note(call, { outcome: "not sent", pieceTimes: [] }, sentAt);
+            this.record(call, { outcome: "not sent", pieceTimes: [] }, sentAt);
             return;
         }
         this.open++;
         void send(call).then(end => {
             this.open--;
-            this.note(call, end, sentAt);
-            this.endIfDone();
+            this.record(call, end, sentAt);
+            this.resolveIfDone();
         });
     }
 
-    private note(call: PlannedCall, end: CallEnd, sentAt: number): void {
+    private record(call: PlannedCall, end: CallEnd, sentAt: number): void {
         const dueAt = this.startedAt + call.at;
         this.records.push({ call, end, dueAt, sentAt, endedAt: this.options.clock.now() });
     }
 
-    private endIfDone(): void {
-        if (this.next === this.options.calls.length && this.open === 0) {
+    private resolveIfDone(): void {
+        if (this.nextIndex === this.options.calls.length && this.open === 0) {
             this.ended(this.records);
         }
     }
