--- a/packages/telemetry/src/lib/logs/createLogger.test.ts
+++ b/packages/telemetry/src/lib/logs/createLogger.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { createLogger } from "./createLogger.js";
 
-test("lines carry process and prefix, and secrets are left out at every depth", () => {
+test("lines contain process and prefix, and secrets are redacted at every depth", () => {
     const lines: string[] = [];
     const destination = { write: (line: string) => void lines.push(line) };
     const logger = createLogger({ process: "entry-1", part: "transport", destination });
@@ -19,7 +19,7 @@
     assert.equal(parsed.process, "entry-1");
 });
 
-test("a process that is named by a child logger stands in its lines once", () => {
+test("the process named by a child logger appears once in each line", () => {
     const lines: string[] = [];
     const logger = createLogger({ destination: { write: line => void lines.push(line) } });
     logger.child({ process: "entry" }).info("takes callers");
--- a/packages/telemetry/src/lib/logs/createLogger.ts
+++ b/packages/telemetry/src/lib/logs/createLogger.ts
@@ -1,6 +1,6 @@
 import { type DestinationStream, type Logger, pino } from "pino";
 
-/** The levels of logs, from the most to the least. @public */
+/** The log levels, from the most to the least verbose. @public */
 export const logLevels = ["debug", "info", "warn", "error", "silent"] as const;
 
 /**
@@ -16,23 +16,23 @@
  * @public
  */
 export interface LoggerOptions {
-    /** The name of the process, as in its settings; absent where several run in one, and child loggers name them. */
+    /** The name of the process, as in its settings; absent if several run in one and child loggers name them. */
     readonly process?: string;
-    /** The part of the system that writes, put before each sentence; absent where the sentences name it themselves. */
+    /** The component that logs, put before each message; absent if the messages name it themselves. */
     readonly part?: string;
     /** Default `info`. */
     readonly level?: LogLevel;
-    /** Where lines go; by default standard output. */
+    /** Where lines are written; default standard output. */
     readonly destination?: DestinationStream;
 }
 
 const secretFields = ["authorization", "token", "secret", "secrets", "password", "credentials", "keys", "psk"];
 
-/** Fields that are never written, at the top of a line and one or two levels below. */
+/** Paths of the fields that are redacted: at the top level of a line and one or two levels below. */
 const redacted = ["", "*.", "*.*."].flatMap(prefix => secretFields.map(field => `${prefix}${field}`));
 
 /**
- * Creates the logger of a part: JSON lines, secrets left out. It writes in this thread and starts no transport.
+ * Creates a logger that writes JSON lines with secrets redacted. It writes in this thread, without a pino transport.
  *
  * @example
  * ```ts
--- a/packages/telemetry/src/lib/metrics/Counter.ts
+++ b/packages/telemetry/src/lib/metrics/Counter.ts
@@ -1,7 +1,7 @@
 import { type Labels, Metric } from "./Metric.js";
 
 /**
- * A number that only grows.
+ * A monotonically increasing number.
  *
  * @public
  */
--- a/packages/telemetry/src/lib/metrics/Gauge.ts
+++ b/packages/telemetry/src/lib/metrics/Gauge.ts
@@ -5,14 +5,14 @@
 }
 
 /**
- * A number that is read when the metrics are.
+ * A number that is read each time the metrics are rendered.
  *
  * @public
  */
 export class Gauge extends Metric<GaugeSeries> {
     protected override readonly type = "gauge";
 
-    /** Sets the function that gives the value of the series with these labels. */
+    /** Sets the function that returns the value of the series with these labels. */
     observe(read: () => number, labels: Labels = {}): void {
         this.series(labels).read = read;
     }
--- a/packages/telemetry/src/lib/metrics/Histogram.ts
+++ b/packages/telemetry/src/lib/metrics/Histogram.ts
@@ -1,16 +1,16 @@
 import { type Clock } from "@waxwingspar/utils";
-// The library's index loads parts that a process never uses, which takes 33 ms of its start (measured with Node's profiler).
+// Imported by its file: the library's index loads modules that are not used here, which adds 33 ms to the start.
 import int32Histogram from "hdr-histogram-js/dist/Int32Histogram.js";
 import { type Labels, Metric, type MetricOptions, withLabel } from "./Metric.js";
 
-/** Histograms record whole microseconds: fine enough for a hop, and one step of the library's integer scale. */
+/** Histograms record whole microseconds: precise enough for a hop, and the library records integers only. */
 const microsecondsPerMillisecond = 1000;
 const microsecondsPerSecond = 1_000_000;
 
-/** An hour in microseconds. Longer times count as an hour. */
-const highest = 3_600_000_000;
+/** An hour in microseconds. Longer durations are recorded as an hour. */
+const maxMicroseconds = 3_600_000_000;
 
-/** Quantiles cover between one and two windows of the past, so that they follow the present. */
+/** Quantiles cover the last one to two windows, so that they reflect recent durations. */
 const windowMilliseconds = 60_000;
 
 const quantiles = [0.5, 0.95, 0.99, 0.999];
@@ -27,7 +27,7 @@
 }
 
 /**
- * Durations, shown as quantiles of the last one to two minutes beside the total count and sum.
+ * Durations, rendered as quantiles of the last one to two minutes with the total count and sum.
  *
  * @public
  */
@@ -42,12 +42,12 @@
     /**
      * Records a duration.
      *
-     * @param duration - Milliseconds; fractions count.
+     * @param duration - Milliseconds, with fractions.
      */
     record(duration: number, labels: Labels = {}): void {
         const series = this.series(labels);
         this.rotate(series);
-        const value = Math.min(highest, Math.max(0, Math.round(duration * microsecondsPerMillisecond)));
+        const value = Math.min(maxMicroseconds, Math.max(0, Math.round(duration * microsecondsPerMillisecond)));
         series.current.recordValue(value);
         series.count++;
         series.sum += value;
--- a/packages/telemetry/src/lib/metrics/Metric.ts
+++ b/packages/telemetry/src/lib/metrics/Metric.ts
@@ -2,56 +2,57 @@
 export type Labels = Readonly<Record<string, string | number>>;
 
 /**
- * What every metric has.
+ * Options of every metric.
  *
  * @public
  */
 export interface MetricOptions {
-    /** The name in the habits of Prometheus, with its unit: `waxwingspar_requests_total`. */
+    /** The name by the conventions of Prometheus, with its unit, such as `waxwingspar_requests_total`. */
     readonly name: string;
-    /** One sentence for people. */
+    /** A sentence that describes the metric to operators. */
     readonly help: string;
 }
 
-/** Series of one metric; further label values are counted together, so that callers cannot fill the memory. */
+/** Maximum number of series of a metric. Further labels share one series, so that callers cannot exhaust the memory. */
 const maxSeries = 2000;
 
-/** The series that takes what is beyond the limit. */
+/** Labels of the series shared by label values beyond the limit. */
 const overflowKey = "{overflow=\"true\"}";
 
 /**
- * One metric with a value for each set of labels.
+ * A metric with a value for each set of labels.
  *
  * @internal
  */
 export abstract class Metric<Series> {
     readonly name: string;
     private readonly help: string;
-    private readonly all = new Map<string, Series>();
+    private readonly seriesByLabels = new Map<string, Series>();
 
     constructor(options: MetricOptions) {
         this.name = options.name;
         this.help = options.help;
     }
 
-    /** The lines of this metric in the Prometheus text format. */
+    /** Returns the lines of this metric in the Prometheus text format. */
     render(): string[] {
         const lines = [`# HELP ${this.name} ${this.help}`, `# TYPE ${this.name} ${this.type}`];
-        for (const [key, series] of this.all) {
+        for (const [key, series] of this.seriesByLabels) {
             lines.push(...this.renderSeries(key, series));
         }
         return lines;
     }
 
+    /** Returns the series with these labels, or the shared one if the limit has been reached. */
     protected series(labels: Labels): Series {
-        const key = labelText(labels);
-        const known = this.all.get(key);
+        const key = renderLabels(labels);
+        const known = this.seriesByLabels.get(key);
         if (known !== undefined) {
             return known;
         }
-        return this.all.size < maxSeries
+        return this.seriesByLabels.size < maxSeries
             ? this.addSeries(key)
-            : this.all.get(overflowKey) ?? this.addSeries(overflowKey);
+            : this.seriesByLabels.get(overflowKey) ?? this.addSeries(overflowKey);
     }
 
     protected abstract readonly type: "counter" | "gauge" | "summary";
@@ -60,22 +61,22 @@
 
     private addSeries(key: string): Series {
         const series = this.create();
-        this.all.set(key, series);
+        this.seriesByLabels.set(key, series);
         return series;
     }
 }
 
 /**
- * Adds a label to the text of others.
+ * Adds a label to rendered labels.
  *
  * @internal
  */
 export function withLabel(labels: string, name: string, value: string | number): string {
-    const added = labelText({ [name]: value });
+    const added = renderLabels({ [name]: value });
     return labels === "" ? added : `${labels.slice(0, -1)},${added.slice(1)}`;
 }
 
-function labelText(labels: Labels): string {
+function renderLabels(labels: Labels): string {
     const names = Object.keys(labels);
     if (names.length === 0) {
         return "";
--- a/packages/telemetry/src/lib/metrics/MetricRegistry.test.ts
+++ b/packages/telemetry/src/lib/metrics/MetricRegistry.test.ts
@@ -8,7 +8,7 @@
     return line === undefined ? undefined : Number(line.slice(series.length + 1));
 }
 
-test("counters and gauges render with labels that are escaped", () => {
+test("counters and gauges render with escaped labels", () => {
     const registry = new MetricRegistry(new ManualClock());
     const requests = registry.counter({ name: "requests_total", help: "Requests." });
     requests.add({ route: "a\"b\\c\nd", code: 0 });
@@ -20,7 +20,7 @@
     assert.ok(text.includes("# TYPE requests_total counter\n"));
 });
 
-test("quantiles are within a hundredth and in seconds", () => {
+test("quantiles are in seconds, with an error of at most 0.01", () => {
     const registry = new MetricRegistry(new ManualClock());
     const latency = registry.histogram({ name: "latency_seconds", help: "Latency." });
     for (let milliseconds = 1; milliseconds <= 1000; milliseconds++) {
@@ -33,7 +33,7 @@
     assert.equal(valueOf(text, "latency_seconds_sum{route=\"r\"}"), 500.5);
 });
 
-test("quantiles forget what is older than two windows, totals do not", () => {
+test("quantiles leave out durations older than two windows, totals do not", () => {
     const clock = new ManualClock();
     const registry = new MetricRegistry(clock);
     const latency = registry.histogram({ name: "latency_seconds", help: "Latency." });
--- a/packages/telemetry/src/lib/metrics/MetricRegistry.ts
+++ b/packages/telemetry/src/lib/metrics/MetricRegistry.ts
@@ -37,7 +37,7 @@
         return this.register(new Histogram(options, this.clock));
     }
 
-    /** All metrics in the Prometheus text format, version 0.0.4. */
+    /** Renders all metrics in the Prometheus text format, version 0.0.4. */
     render(): string {
         const lines = [...this.metrics.values()].flatMap(metric => metric.render());
         return `${lines.join("\n")}\n`;
@@ -45,7 +45,7 @@
 
     private register<T extends Counter | Gauge | Histogram>(metric: T): T {
         if (this.metrics.has(metric.name)) {
-            throw new Error(`metric ${metric.name} exists already`);
+            throw new Error(`metric ${metric.name} is already registered`);
         }
         this.metrics.set(metric.name, metric);
         return metric;
--- a/packages/telemetry/src/lib/traces/createTracing.test.ts
+++ b/packages/telemetry/src/lib/traces/createTracing.test.ts
@@ -4,7 +4,7 @@
 import { createTracing } from "./createTracing.js";
 import { parentContext, traceparentOf } from "./traceContext.js";
 
-test("hops of several processes join one trace", () => {
+test("spans of several processes belong to one trace", () => {
     const exporter = new InMemorySpanExporter();
     const entry = createTracing({ process: "entry-1", exporter });
     const agent = createTracing({ process: "agent-1", exporter });
@@ -19,7 +19,7 @@
     assert.equal(stage?.parentSpanContext?.spanId, request?.spanContext().spanId);
 });
 
-test("a malformed parent starts a trace of its own", () => {
+test("a malformed traceparent starts a new trace", () => {
     const exporter = new InMemorySpanExporter();
     const { tracer } = createTracing({ process: "entry-1", exporter });
     for (const text of ["", "00-zz", "00-00000000000000000000000000000000-b7ad6b7169203331-01", "\r\n"]) {
--- a/packages/telemetry/src/lib/traces/createTracing.ts
+++ b/packages/telemetry/src/lib/traces/createTracing.ts
@@ -19,11 +19,11 @@
 export interface TracingOptions {
     /** The name of the process, as in its settings. */
     readonly process: string;
-    /** Where spans are sent by OTLP over HTTP, such as `http://127.0.0.1:4318/v1/traces`. Without it nothing is sent. */
+    /** The endpoint for OTLP over HTTP, such as `http://127.0.0.1:4318/v1/traces`. Without it no spans are sent. */
     readonly endpoint?: string;
-    /** The share of traces kept, from 0 to 1, among those that begin here. Default 1. */
+    /** Sampling ratio of the traces that begin in this process, from 0 to 1. Default 1. */
     readonly ratio?: number;
-    /** Takes every span at once instead of the endpoint, for tests. */
+    /** Receives every span as it ends, instead of the endpoint, for tests. */
     readonly exporter?: SpanExporter;
 }
 
@@ -33,14 +33,14 @@
  * @public
  */
 export interface Tracing {
-    /** Starts spans: one for each hop, never one for a token. */
+    /** Starts spans: one for each hop, never one for each token. */
     readonly tracer: Tracer;
-    /** Sends what waits, then stops. */
+    /** Sends the buffered spans, then stops. */
     shutdown(): Promise<void>;
 }
 
 /**
- * Creates the tracing of a process. Without endpoint and exporter its spans do nothing.
+ * Creates the tracing of a process. Without an endpoint and an exporter its spans are not recorded.
  *
  * @public
  */
--- a/packages/telemetry/src/lib/traces/traceContext.ts
+++ b/packages/telemetry/src/lib/traces/traceContext.ts
@@ -3,7 +3,7 @@
 const traceparentPattern = /^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$/;
 
 /**
- * The context of a W3C `traceparent`, for a span that continues its trace.
+ * Returns the context of a W3C `traceparent`, for a span that continues its trace.
  *
  * @returns The root context when the text is absent or malformed.
  * @public
@@ -18,9 +18,9 @@
 }
 
 /**
- * The `traceparent` that the next hop gets from a span.
+ * Returns the `traceparent` that passes a span on to the next hop.
  *
- * @returns Undefined for the span of a tracer that does nothing.
+ * @returns Undefined if the span has no valid context, as when tracing is disabled.
  * @public
  */
 export function traceparentOf(span: Span): string | undefined {
