--- a/packages/utils/src/lib/Clock.ts
+++ b/packages/utils/src/lib/Clock.ts
@@ -9,14 +9,14 @@
 }
 
 /**
- * The source of time. Decision code receives one instead of reading the system's clock, so that tests can drive it.
+ * The source of time. Code receives one instead of reading the system's clock, so that tests can control the time.
  *
  * @public
  */
 export interface Clock {
     /**
-     * Monotonic time in milliseconds from an arbitrary origin. Lease ages, timeouts and latencies use only this one,
-     * since it never jumps.
+     * Monotonic time in milliseconds from an arbitrary origin. Lease ages, timeouts and latencies are measured
+     * with it alone, since it never jumps.
      */
     now(): number;
     /** The wall clock. It may jump; use it for logs and timestamps that people read, never for ordering. */
--- a/packages/utils/src/lib/Failure.ts
+++ b/packages/utils/src/lib/Failure.ts
@@ -2,18 +2,18 @@
 import { type ResultCode } from "./resultCodes/ResultCode.js";
 
 /**
- * An expected failure. It travels in a `Result`, never as an exception.
+ * An expected failure. It is returned in a `Result`, never thrown.
  *
  * @public
  */
 export interface Failure {
-    /** The numbered result. */
+    /** The result code. */
     readonly code: ResultCode;
-    /** A short sentence for people. It holds no secrets. */
+    /** A short human-readable sentence, without secrets. */
     readonly message: string;
-    /** When to come back, in milliseconds from now. */
+    /** Milliseconds after which to retry. */
     readonly retryAfter?: number;
-    /** The field at fault, as a dotted path, for input errors. */
+    /** For input errors, the dotted path of the invalid field. */
     readonly path?: string;
 }
 
--- a/packages/utils/src/lib/ManualClock.ts
+++ b/packages/utils/src/lib/ManualClock.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * A clock that moves only when told to, for tests and for benchmarks on virtual time.
+ * A clock that is advanced by hand, for tests and for benchmarks in virtual time.
  *
  * @example
  * ```ts
@@ -19,7 +19,7 @@
  */
 export class ManualClock implements Clock {
     private time: number;
-    private scheduled = 0;
+    private scheduledCount = 0;
     private readonly timers = new Set<PendingTimer>();
 
     /** @param start - The first value of {@link ManualClock.now}, in milliseconds. */
@@ -36,13 +36,13 @@
     }
 
     schedule(callback: () => void, delay: number): Timer {
-        const timer: PendingTimer = { due: this.time + Math.max(0, delay), order: this.scheduled++, callback };
+        const timer: PendingTimer = { due: this.time + Math.max(0, delay), order: this.scheduledCount++, callback };
         this.timers.add(timer);
         return { cancel: () => void this.timers.delete(timer) };
     }
 
     /**
-     * Moves time forward and runs every timer that falls due, in order, including those scheduled on the way.
+     * Moves time forward and runs every timer that becomes due, in order, including those that timers schedule.
      *
      * @param duration - Milliseconds to move.
      */
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Like {@link ManualClock.advance}, but lets promise callbacks settle after every step, for code that awaits.
+     * Like {@link ManualClock.advance}, but runs pending promise callbacks after every step, for code that awaits.
      *
      * @param duration - Milliseconds to move.
-     * @param step - Milliseconds between two settlements.
+     * @param step - Milliseconds between two runs of the promise callbacks.
      */
     async advanceAsync(duration: number, step = 10): Promise<void> {
         for (let left = duration; left > 0; left -= step) {
@@ -85,7 +85,7 @@
     }
 }
 
-/** Lets every promise callback that is ready run. */
+/** Runs all pending promise callbacks. */
 function settle(): Promise<void> {
     return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/utils/src/lib/Random.ts
+++ b/packages/utils/src/lib/Random.ts
@@ -2,7 +2,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
 /**
- * A source of random numbers. Decision code receives one, so that a run can be repeated from its seed.
+ * A source of random numbers. Code receives one, so that a run can be repeated from its seed.
  *
  * @public
  */
--- a/packages/utils/src/lib/StateChart.test.ts
+++ b/packages/utils/src/lib/StateChart.test.ts
@@ -12,7 +12,7 @@
     return pathToFileURL(path);
 }
 
-test("a chart file is followed, and one with a transition to nowhere is refused", t => {
+test("a chart follows its file, and a file with a transition to an unknown state is refused", t => {
     const folder = mkdtempSync(join(tmpdir(), "chart-"));
     t.after(() => rmSync(folder, { recursive: true }));
     const states = { idle: { on: { start: "busy" } }, busy: { on: { start: "busy", stop: "gone" } }, gone: {} };
--- a/packages/utils/src/lib/StateChart.ts
+++ b/packages/utils/src/lib/StateChart.ts
@@ -2,14 +2,14 @@
 import { assert } from "./assert.js";
 
 /**
- * A flat state chart as its JSON file holds it: for each state the events it reacts to and the states they lead to.
+ * A flat state chart as stored in its JSON file: for each state, the events it reacts to and the states they lead to.
  *
  * @public
  */
 export interface ChartDefinition<State extends string, Event extends string> {
-    /** The state that a new chart is in. */
+    /** The state in which a new chart starts. */
     readonly initial: State;
-    /** An event that a state does not name is ignored in that state. */
+    /** The transitions of each state. A state ignores events that it does not list. */
     readonly states: Readonly<Record<State, { readonly on?: { readonly [E in Event]?: State; }; }>>;
 }
 
@@ -17,9 +17,9 @@
  * Reads a state chart from its JSON file.
  *
  * @param file - The file, usually `new URL("./name.json", import.meta.url)`.
- * @returns The chart. The names of states and events are the caller's claim: only that each transition leads to a state
- * that exists is checked.
- * @throws Error when the file cannot be read, or a transition leads to no state.
+ * @returns The chart. Its type arguments are not checked against the file, only that every transition leads to an
+ * existing state.
+ * @throws Error if the file cannot be read, or the initial state or the target of a transition does not exist.
  * @public
  */
 export function readStateChart<State extends string, Event extends string>(file: URL): ChartDefinition<State, Event> {
@@ -32,7 +32,7 @@
 }
 
 /**
- * Interprets a flat state chart: an event moves it to the next state, or is ignored where the state does not name it.
+ * Interprets a flat state chart: an event moves it to the next state, or is ignored if the state does not list it.
  *
  * @example
  * ```ts
@@ -51,17 +51,17 @@
         this.current = definition.initial;
     }
 
-    /** The state it is in. */
+    /** The current state. */
     get state(): State {
         return this.current;
     }
 
-    /** True when no event leads out of the state. */
+    /** Whether the current state has no transitions. */
     get ended(): boolean {
         return Object.keys(this.definition.states[this.current].on ?? {}).length === 0;
     }
 
-    /** Sends an event. Returns false when the state ignores it. */
+    /** Sends an event. Returns false if the current state ignores it. */
     send(event: Event): boolean {
         const next = this.definition.states[this.current].on?.[event];
         if (next === undefined) {
--- a/packages/utils/src/lib/assert.ts
+++ b/packages/utils/src/lib/assert.ts
@@ -1,5 +1,5 @@
 /**
- * Throws when a condition that the code relies on does not hold. For faults of the program, not of its input.
+ * Throws if a condition that the code relies on is false. For defects of the program, not for invalid input.
  *
  * @param condition - What must be true.
  * @param message - What was expected.
@@ -12,9 +12,9 @@
 }
 
 /**
- * Closes an exhaustive switch: the compiler rejects the call while a case is missing.
+ * Ends an exhaustive switch: the call does not compile while a case is missing.
  *
- * @param value - The value that no case took.
+ * @param value - The value that no case handled.
  * @public
  */
 export function assertNever(value: never): never {
--- a/packages/utils/src/lib/ids.ts
+++ b/packages/utils/src/lib/ids.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from "node:crypto";
 
 /**
- * Creates an identifier that no other process creates: for requests, incarnations and write ids.
+ * Creates a globally unique identifier, for requests, incarnations and writes.
  *
  * @public
  */
--- a/packages/utils/src/lib/resultCodes/ResultCode.ts
+++ b/packages/utils/src/lib/resultCodes/ResultCode.ts
@@ -1,16 +1,16 @@
 /**
  * What is known about the execution of a request when it ends.
  *
- * - `completed`: it ran and its whole answer was delivered.
+ * - `completed`: it ran, and its whole answer was delivered.
  * - `not run`: no part of it ran; a retry is safe even if it is not idempotent.
- * - `unknown`: it may have run, whole or in part.
+ * - `unknown`: it may have run, completely or in part.
  *
  * @public
  */
 export type Execution = "completed" | "not run" | "unknown";
 
 /**
- * One numbered result. Numbers never change their meaning; docs/RESULT-CODES.md is made from this table.
+ * A numbered result. Numbers never change their meaning; docs/RESULT-CODES.md is generated from these tables.
  *
  * @public
  */
@@ -19,12 +19,12 @@
     readonly number: number;
     /** A short stable name in kebab case. */
     readonly name: string;
-    /** What this code says about execution. */
+    /** Whether a request that ends with this code was executed. */
     readonly execution: Execution;
     /** The HTTP status it is sent with. */
     readonly status: number;
     /** Whether the same request may be sent again, and when. */
     readonly retry: "no" | "at once" | "later";
-    /** One sentence for the table in the docs. */
+    /** One sentence that explains the code, for docs/RESULT-CODES.md and error messages. */
     readonly summary: string;
 }
--- a/packages/utils/src/lib/resultCodes/resourceCodes.ts
+++ b/packages/utils/src/lib/resultCodes/resourceCodes.ts
@@ -1,7 +1,7 @@
 import { type ResultCode } from "./ResultCode.js";
 
 /**
- * Results of operators' requests and of checks on settings: 3000 to 3999.
+ * Results of operators' requests and of the validation of settings: 3000 to 3999.
  *
  * @public
  */
--- a/packages/utils/src/lib/resultCodes/resultCodes.ts
+++ b/packages/utils/src/lib/resultCodes/resultCodes.ts
@@ -21,7 +21,7 @@
 /**
  * Finds a result code by its number.
  *
- * @param number - The number that a message carried.
+ * @param number - The number, as received in a message.
  * @returns The code, or undefined for a number that this version does not know.
  * @public
  */
