--- a/packages/utils/src/lib/resultCodes/platformCodes.ts
+++ b/packages/utils/src/lib/resultCodes/platformCodes.ts
@@ -36,7 +36,7 @@
         execution: "not run",
         status: 503,
         retry: "later",
-        summary: "The local share of the store's rate is used up.",
+        summary: "The process has used up its share of the store's request rate.",
     },
     leaseLost: {
         number: 4004,
@@ -52,7 +52,7 @@
         execution: "not run",
         status: 409,
         retry: "no",
-        summary: "The order carries an older fencing number than one already seen.",
+        summary: "The order carries an older fencing token than one already seen.",
     },
     inUse: {
         number: 4006,
@@ -60,6 +60,6 @@
         execution: "not run",
         status: 409,
         retry: "later",
-        summary: "Requests still run on what the order would take away.",
+        summary: "Requests are still running on the resource that the order would remove.",
     },
 } as const satisfies Record<string, ResultCode>;
--- a/packages/utils/src/lib/resultCodes/requestCodes.ts
+++ b/packages/utils/src/lib/resultCodes/requestCodes.ts
@@ -28,7 +28,7 @@
         execution: "not run",
         status: 403,
         retry: "no",
-        summary: "The caller may not do this.",
+        summary: "The caller is not permitted to do this.",
     },
     noSuchRoute: {
         number: 1003,
@@ -76,7 +76,7 @@
         execution: "not run",
         status: 503,
         retry: "later",
-        summary: "The answer would have come later than its bound, so it was refused before any work.",
+        summary: "The answer would have exceeded its latency bound, so the request was refused before any work.",
     },
     limitReached: {
         number: 1011,
@@ -148,7 +148,7 @@
         execution: "not run",
         status: 503,
         retry: "no",
-        summary: "Targets that ran this very request crashed, so it is not sent to another one.",
+        summary: "Targets that ran this request crashed, so it is not sent to another one.",
     },
     stageLost: {
         number: 2000,
--- a/packages/utils/src/lib/resultCodes/transportCodes.ts
+++ b/packages/utils/src/lib/resultCodes/transportCodes.ts
@@ -1,7 +1,7 @@
 import { type ResultCode } from "./ResultCode.js";
 
 /**
- * Results between the system's own processes: 5000 to 5999.
+ * Results of messages between the system's own processes: 5000 to 5999.
  *
  * @public
  */
@@ -60,6 +60,6 @@
         execution: "unknown",
         status: 502,
         retry: "later",
-        summary: "The peer took its messages too slowly and the connection was closed.",
+        summary: "The peer read its messages too slowly, so the connection was closed.",
     },
 } as const satisfies Record<string, ResultCode>;
