--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles the gateway into target/gateway.cjs, from the sources, without anything that it does not load, and makes the
-// code cache that start-cached.cjs starts it with.
+// Bundles the gateway from its sources into target/gateway.cjs, with only the modules that it loads, and writes the V8
+// code cache with which start-cached.cjs starts it.
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { copyFileSync, mkdirSync, readdirSync } from "node:fs";
@@ -28,8 +28,8 @@
     define: { "import.meta.url": "bundleUrl" },
     logLevel: "warning",
 });
-// State charts are read beside the module that names them, which is the bundle.
+// A module reads its state chart from its own folder, which for the bundle is the target folder.
 copyFileSync("packages/gateway/src/lib/duty/placementLease.json", join(target, "placementLease.json"));
 copyFileSync("scripts/start-cached.cjs", join(target, "start.cjs"));
-// Without options, as in the deploy file: V8 refuses a cache, and Node its own, where options of V8 differ.
+// Without options, as in the deploy file: V8 and Node.js reject code caches made with other V8 options.
 execFileSync(process.execPath, [join(target, "start.cjs"), "--write-cache"]);
--- a/scripts/check-docs.mjs
+++ b/scripts/check-docs.mjs
@@ -1,10 +1,10 @@
-// Checks the Markdown pages below a folder (default: the current one): relative links and named paths lead somewhere,
-// and a reader who starts at README.md or docs/ARCHITECTURE.md finds every page of docs/.
+// Checks the Markdown pages below a folder (default: the current one): the targets of relative links and the paths in
+// the text exist, and README.md or docs/ARCHITECTURE.md links to every page of docs/.
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { dirname, join, relative } from "node:path";
 
 const root = process.argv[2] ?? ".";
-const leftOut = new Set(["node_modules", "dist", ".git", "bench-out", "tmp"]);
+const ignoredFolders = new Set(["node_modules", "dist", ".git", "bench-out", "tmp"]);
 const startPages = ["README.md", "docs/ARCHITECTURE.md"];
 const fencedCode = /^```.*?^```/gms;
 const link = /\]\(([^)\s]+)\)/g;
@@ -13,21 +13,21 @@
 
 function listPages(folder) {
     return readdirSync(folder, { withFileTypes: true })
-        .filter(entry => !leftOut.has(entry.name))
+        .filter(entry => !ignoredFolders.has(entry.name))
         .flatMap(entry => {
             const path = join(folder, entry.name);
             return entry.isDirectory() ? listPages(path) : path.endsWith(".md") ? [path] : [];
         });
 }
 
-/** The files that a page links to, from the root; an address of another site or of a place in the page is none. */
+/** Lists the files that a page links to, from the root, without links to other sites or within the page. */
 function linkedFiles(page, text) {
     return [...text.replaceAll(fencedCode, "").matchAll(link)]
         .filter(([, address]) => !scheme.test(address) && !address.startsWith("#"))
         .map(([, address]) => join(dirname(page), decodeURI(address.split("#")[0])));
 }
 
-/** Files that the text names from the root. The output of a build need not be there. */
+/** Lists the files that a text names by their path from the root, without build output, which may not exist. */
 function namedFiles(text) {
     return [...text.matchAll(namedPath)]
         .map(([path]) => path.replace(/[./-]+$/, ""))
--- a/scripts/known-red.mjs
+++ b/scripts/known-red.mjs
@@ -1,21 +1,22 @@
-// Tests that may fail for a time, as KNOWN-RED.txt lists them: PACKAGE: TEST | CAUSE | ISSUE, at most three lines.
+// Reads KNOWN-RED.txt, the list of tests that may fail for a time (PACKAGE: TEST | CAUSE | ISSUE, at most three lines),
+// and judges a test run by it.
 import { existsSync, readFileSync } from "node:fs";
 import { relative, sep } from "node:path";
 
-const most = 3;
-const lineForm = /^([a-z]+: .*\S) \| (.*\S) \| (.*\S)$/;
+const maxEntries = 3;
+const linePattern = /^([a-z]+: .*\S) \| (.*\S) \| (.*\S)$/;
 
-/** Reads the list; a missing file is an empty list. Throws when a line is malformed, stands twice, or is one too many. */
+/** Reads the list, empty if the file is missing. Throws on a malformed line, a repeated test or too many lines. */
 export function readKnownRed(path) {
     if (!existsSync(path)) {
         return [];
     }
     const lines = readFileSync(path, "utf8").split("\n").filter(line => line.trim() !== "");
-    if (lines.length > most) {
-        throw new Error(`${path} has ${lines.length} lines; ${most} are allowed`);
+    if (lines.length > maxEntries) {
+        throw new Error(`${path} has ${lines.length} lines; ${maxEntries} are allowed`);
     }
     const tests = lines.map(line => {
-        const [, test, cause, issue] = lineForm.exec(line) ?? [];
+        const [, test, cause, issue] = linePattern.exec(line) ?? [];
         if (test === undefined) {
             throw new Error(`${path}: not "PACKAGE: TEST | CAUSE | ISSUE": ${line}`);
         }
@@ -27,7 +28,7 @@
     return tests;
 }
 
-/** The name that the list uses; a file that failed as a whole has no package's name before it, so it is never listed. */
+/** Returns a test's name as in the list. The failure of a whole file gets no package prefix and so cannot be listed. */
 function listedName({ name, file }) {
     const [folder, packageName] = relative(process.cwd(), file ?? "").split(sep);
     return folder === "packages" ? `${packageName}: ${name}` : name;
@@ -36,8 +37,8 @@
 /**
  * Compares the outcomes of a run with the list.
  *
- * @param packages - The packages that were run; listed tests of others are left alone.
- * @returns Whether the run passes, and lines that tell why.
+ * @param packages - The packages that were run; listed tests of other packages are ignored.
+ * @returns Whether the run passes, and the lines to print.
  */
 export function judgeRun(known, outcomes, packages, status) {
     const failed = new Set(outcomes.filter(({ passed }) => !passed).map(listedName));
--- a/scripts/outcome-reporter.mjs
+++ b/scripts/outcome-reporter.mjs
@@ -1,6 +1,9 @@
-// A reporter of Node's test runner that writes one JSON line for each test that ended.
+// A reporter for Node's test runner that writes one JSON line for each test that ran.
 
-/** Tells the outcomes that known-red.mjs needs: a test that was skipped has not run, one marked as to do cannot fail. */
+/**
+ * Reports the outcomes that known-red.mjs needs. Skipped tests are left out since they did not run, and tests marked as
+ * to do since they cannot fail.
+ */
 export default async function* reportOutcomes(source) {
     for await (const { type, data } of source) {
         if (type !== "test:pass" && type !== "test:fail") {
--- a/scripts/result-codes.mjs
+++ b/scripts/result-codes.mjs
@@ -1,4 +1,4 @@
-// Writes docs/RESULT-CODES.md from the table in the code; with --check only compares.
+// Generates docs/RESULT-CODES.md from the tables in the code; with --check only compares.
 import { resultCodes } from "@waxwingspar/utils";
 import { readFileSync, writeFileSync } from "node:fs";
 
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,4 +1,4 @@
-// Runs every compiled test file with Node's own test runner, and fails when there are none, or when a test fails that
+// Runs every compiled test file with Node's test runner. Fails if there are no test files, or if a test fails that
 // KNOWN-RED.txt does not list (see known-red.mjs).
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdtempSync, readdirSync, readFileSync, rmSync } from "node:fs";
@@ -20,7 +20,7 @@
         .sort();
 }
 
-/** Runs the tests as before, and notes how each ended. A signal counts as a failure without any outcome. */
+/** Runs test files and collects the outcome of each test. The status is null if the runner was ended by a signal. */
 function runTests(files, options = []) {
     const folder = mkdtempSync(join(tmpdir(), "waxwingspar-tests-"));
     const outcomeFile = join(folder, "outcomes");
@@ -39,7 +39,7 @@
     return { status, outcomes: text.split("\n").filter(line => line !== "").map(line => JSON.parse(line)) };
 }
 
-/** The runner names a test's source, but is given the compiled file; this name is the same for both. */
+/** Returns a name for a test file that is the same for its source, which the runner reports, and the compiled file. */
 function moduleOf(file) {
     return relative(process.cwd(), file).replace(/^((?:packages.)?[^\\/]+.)(src|dist)(?=[\\/])/, "$1").replace(
         /[.][jt]s$/,
@@ -60,13 +60,16 @@
 const { passes, lines } = judgeRun(known, outcomes, packages, status);
 lines.forEach(line => console.log(line));
 
-/** A file that fails can hide behind a listed test of its own, so it must pass without these tests. */
+/**
+ * Reruns the failed files without the listed tests. A listed test can hide another failure of its file, so the file
+ * must pass without it.
+ */
 function passesWithoutKnown() {
     const names = known.map(({ test }) => test.slice(test.indexOf(": ") + 2));
     const escaped = names.map(name => name.replaceAll(/[\\^$.*+?()[\]{}|/]/g, "\\$&"));
     const failed = new Set(outcomes.filter(({ passed }) => !passed).map(({ file }) => moduleOf(file)));
     const suspects = files.filter(file => failed.has(moduleOf(file)));
-    // The runner takes a test whose parent matches, and all tests of a file are below one that it calls "<root>".
+    // The runner also selects a test whose parent matches, and the parent of all tests of a file is named "<root>".
     const rest = runTests(suspects, [`--test-name-pattern=/^(?!(?:${[...escaped, "<root>"].join("|")})$)/`]);
     if (rest.status !== 0) {
         console.log("failed: a file with known red tests fails without them, too");
--- a/scripts/start-cached.cjs
+++ b/scripts/start-cached.cjs
@@ -1,5 +1,5 @@
-// Starts the bundle beside this file with the code cache that the build made of it. V8 takes the cache only if it was made
-// by the same version from the same source; otherwise it compiles the bundle, which takes some 40 ms more of the start.
+// Starts the bundle in this folder with the V8 code cache that the build made of it. V8 accepts the cache only if the
+// same version made it from the same source; otherwise it compiles the bundle, which adds about 40 ms to the start.
 "use strict";
 const { existsSync, readFileSync, writeFileSync } = require("node:fs");
 const { dirname, join } = require("node:path");
@@ -9,7 +9,7 @@
 const bundle = join(__dirname, "gateway.cjs");
 const cache = join(__dirname, "gateway.cache");
 
-/** Loads the bundle, from the cache where it fits. */
+/** Loads the bundle, with the code cache if V8 accepts it. */
 function loadBundle() {
     const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(bundle, "utf8")}\n})`;
     const cachedData = existsSync(cache) ? readFileSync(cache) : undefined;
@@ -19,14 +19,14 @@
     return { script, main: bundled.exports.main };
 }
 
-/** The value behind an option of the command line. */
+/** Returns the value of a command-line option. */
 function option(name) {
     const index = process.argv.indexOf(name);
     return index === -1 ? undefined : process.argv[index + 1];
 }
 
 if (process.argv.includes("--write-cache")) {
-    // Functions that have run by now are in the cache as well.
+    // Written after the bundle has loaded, so that the cache also holds the functions compiled while it loads.
     writeFileSync(cache, loadBundle().script.createCachedData());
 }
 else {
@@ -35,7 +35,7 @@
         loadBundle().main();
     }
     else {
-        // Callers that come while the bundle loads wait in the queue of the listener instead of being turned away.
+        // Connections that arrive while the bundle loads wait in the listener's backlog instead of being refused.
         const colon = callers.lastIndexOf(":");
         const listener = createServer();
         listener.listen(Number(callers.slice(colon + 1)), callers.slice(0, colon), () => loadBundle().main(listener));
