--- a/packages/proof/src/bin.ts
+++ b/packages/proof/src/bin.ts
@@ -35,7 +35,7 @@
     const folder = await mkdtemp(join(tmpdir(), `waxwingspar-proof-${scenario.name}-`));
     process.stdout.write(`${scenario.name}: ${scenario.summary}\n`);
     try {
-        const result = await runScenario({ scenario, seed, seconds, folder, plants });
+        const result = await runScenario({ scenario, seed, seconds, folder, plantsViolations: plants });
         process.stdout.write(`${formatDetails(result)}\n`);
         results.push(result);
         if (!keep && holds(result)) {
--- a/packages/proof/src/holder.ts
+++ b/packages/proof/src/holder.ts
@@ -1,7 +1,7 @@
 import { readFile } from "node:fs/promises";
-import { type HolderFile, runHolder } from "./lib/holder/runHolder.js";
+import { type HolderSettings, runHolder } from "./lib/holder/runHolder.js";
 
 const [file = ""] = process.argv.slice(2);
-const stop = await runHolder(JSON.parse(await readFile(file, "utf8")) as HolderFile);
+const stop = await runHolder(JSON.parse(await readFile(file, "utf8")) as HolderSettings);
 await new Promise<void>(resolve => process.once("SIGTERM", () => resolve()));
 await stop();
--- a/packages/proof/src/lib/callers/Callers.ts
+++ b/packages/proof/src/lib/callers/Callers.ts
@@ -5,7 +5,7 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { serviceAnswer, serviceName } from "../site/ServiceStandIn.js";
 import { siteModel } from "../site/siteModel.js";
-import { type CallEnd, callEntry, createConnections } from "./callEntry.js";
+import { callEntry, type CallResult, createConnections } from "./callEntry.js";
 
 /** @internal */
 export interface CallersOptions {
@@ -23,10 +23,10 @@
 export type RequestKind = "model" | "claimed model" | "read" | "publish";
 
 /** One request with all its tries. @internal */
-export interface RequestEnd {
+export interface RequestResult {
     readonly kind: RequestKind;
-    readonly outcome: CallEnd["outcome"];
-    readonly tries: readonly CallEnd[];
+    readonly outcome: CallResult["outcome"];
+    readonly attempts: readonly CallResult[];
 }
 
 interface Call {
@@ -38,14 +38,14 @@
     readonly key?: string;
 }
 
-const maxTries = 4;
-const retryPause = 150;
+const maxAttempts = 4;
+const retryDelay = 150;
 const claimedShare = 0.2;
 const publishShare = 0.6;
 /** Shares of publishing calls that are sent twice at the same moment, and again some seconds later. */
-const twinShare = 0.3;
-const lateShare = 0.3;
-const lateAfter = 4000;
+const concurrentDuplicateShare = 0.3;
+const delayedDuplicateShare = 0.3;
+const duplicateDelay = 4000;
 /** How much the time between two requests varies, as a share of it. */
 const jitter = 0.4;
 const millisecondsPerSecond = 1000;
@@ -57,7 +57,7 @@
  * @internal
  */
 export class Callers {
-    readonly ends: RequestEnd[] = [];
+    readonly results: RequestResult[] = [];
     private readonly connections = createConnections();
     private readonly open = new Set<Promise<unknown>>();
     private readonly stopped = new AbortController();
@@ -68,8 +68,8 @@
     /** Begins to send. */
     start(): void {
         const { modelRate, serviceRate } = this.options;
-        void this.arrive(modelRate, () => this.modelCall());
-        void this.arrive(serviceRate, () => this.serviceCall());
+        void this.sendAtRate(modelRate, () => this.modelCall());
+        void this.sendAtRate(serviceRate, () => this.serviceCall());
     }
 
     /** Sends no more, and waits until all that was sent has ended. */
@@ -81,7 +81,7 @@
         await this.connections.close();
     }
 
-    private async arrive(rate: number, create: () => Call): Promise<void> {
+    private async sendAtRate(rate: number, create: () => Call): Promise<void> {
         const { random } = this.options;
         while (!this.stopped.signal.aborted) {
             await pause((1 - jitter / 2 + jitter * random.next()) / rate * millisecondsPerSecond);
@@ -96,11 +96,11 @@
         if (call.kind !== "publish" && call.kind !== "claimed model") {
             return;
         }
-        if (this.options.random.next() < twinShare) {
+        if (this.options.random.next() < concurrentDuplicateShare) {
             this.track(this.run(call));
         }
-        if (this.options.random.next() < lateShare) {
-            this.track(pause(lateAfter).then(() => this.run(call)));
+        if (this.options.random.next() < delayedDuplicateShare) {
+            this.track(pause(duplicateDelay).then(() => this.run(call)));
         }
     }
 
@@ -147,19 +147,19 @@
     private async run(call: Call): Promise<void> {
         const { origins, random } = this.options;
         const first = random.below(origins.length);
-        const tries: CallEnd[] = [];
-        for (let index = 0; index < maxTries; index++) {
-            const end = await this.tryOnce(call, origins[(first + index) % origins.length] ?? "");
+        const tries: CallResult[] = [];
+        for (let index = 0; index < maxAttempts; index++) {
+            const end = await this.sendAttempt(call, origins[(first + index) % origins.length] ?? "");
             tries.push(end);
             if (end.outcome === "completed") {
                 break;
             }
-            await pause(retryPause * (index + 1));
+            await pause(retryDelay * (index + 1));
         }
-        this.ends.push({ kind: call.kind, outcome: tries.at(-1)?.outcome ?? "not run", tries });
+        this.results.push({ kind: call.kind, outcome: tries.at(-1)?.outcome ?? "not run", attempts: tries });
     }
 
-    private async tryOnce(call: Call, origin: string): Promise<CallEnd> {
+    private async sendAttempt(call: Call, origin: string): Promise<CallResult> {
         const { clock, recorder } = this.options;
         const callerRequest = uniqueId();
         const { key, expected } = call;
--- a/packages/proof/src/lib/callers/callEntry.ts
+++ b/packages/proof/src/lib/callers/callEntry.ts
@@ -3,7 +3,7 @@
 import { z } from "zod";
 
 /** How a call ended, as its caller sees it. @internal */
-export interface CallEnd {
+export interface CallResult {
     readonly outcome: "completed" | "not run" | "unknown";
     /** The number of the result code, where the entry gave one. */
     readonly code?: number;
@@ -35,7 +35,7 @@
 const dataPrefix = "data: ";
 const statusOk = 200;
 /** Errors of a connection that was never opened. */
-const neverOpened = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"]);
+const connectErrorCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"]);
 
 /** Creates the connections of the callers; each call has its own. @internal */
 export function createConnections(): Connections {
@@ -47,7 +47,7 @@
  *
  * @internal
  */
-export async function callEntry(options: CallOptions): Promise<CallEnd> {
+export async function callEntry(options: CallOptions): Promise<CallResult> {
     const reader = new AnswerReader(options);
     try {
         const { statusCode, body } = await request(options.url, {
@@ -58,7 +58,7 @@
         });
         reader.status = statusCode;
         for await (const piece of body as AsyncIterable<Buffer>) {
-            reader.take(piece.toString("utf8"));
+            reader.append(piece.toString("utf8"));
         }
         return reader.end();
     }
@@ -70,9 +70,9 @@
 class AnswerReader {
     status = 0;
     private readonly sentAt: number;
-    private rest = "";
+    private partialLine = "";
     private text = "";
-    private finished = false;
+    private hasFinishReason = false;
     private whole = false;
     private failed: z.infer<typeof errorSchema> | undefined;
     private readonly pieceTimes: number[] = [];
@@ -81,17 +81,19 @@
         this.sentAt = options.clock.now();
     }
 
-    take(piece: string): void {
+    append(piece: string): void {
         if (this.status !== statusOk || !this.options.streamed) {
             this.text += piece;
             return;
         }
-        const lines = (this.rest + piece).split("\n");
-        this.rest = lines.pop() ?? "";
-        lines.filter(line => line.startsWith(dataPrefix)).forEach(line => this.takeData(line.slice(dataPrefix.length)));
+        const lines = (this.partialLine + piece).split("\n");
+        this.partialLine = lines.pop() ?? "";
+        lines.filter(line => line.startsWith(dataPrefix)).forEach(line =>
+            this.readEvent(line.slice(dataPrefix.length))
+        );
     }
 
-    end(): CallEnd {
+    end(): CallResult {
         if (this.status !== statusOk) {
             const parsed = errorSchema.safeParse(parseJson(this.text));
             return this.result(parsed.success ? parsed.data : undefined, "unknown");
@@ -102,14 +104,14 @@
         return this.result(this.failed, "unknown");
     }
 
-    broken(error: unknown): CallEnd {
+    broken(error: unknown): CallResult {
         const code = error instanceof Error && "code" in error ? String(error.code) : "";
-        return this.result(undefined, this.status === 0 && neverOpened.has(code) ? "not run" : "unknown");
+        return this.result(undefined, this.status === 0 && connectErrorCodes.has(code) ? "not run" : "unknown");
     }
 
-    private takeData(data: string): void {
+    private readEvent(data: string): void {
         if (data === "[DONE]") {
-            this.whole = this.finished;
+            this.whole = this.hasFinishReason;
             return;
         }
         const value = parseJson(data);
@@ -120,14 +122,14 @@
             return;
         }
         const choice = chunk.data.choices[0];
-        this.finished ||= typeof choice?.finish_reason === "string";
+        this.hasFinishReason ||= typeof choice?.finish_reason === "string";
         if (choice?.text !== undefined && choice.text !== "") {
             this.pieceTimes.push(this.options.clock.now());
             this.text += choice.text;
         }
     }
 
-    private result(failed: z.infer<typeof errorSchema> | undefined, otherwise: CallEnd["outcome"]): CallEnd {
+    private result(failed: z.infer<typeof errorSchema> | undefined, otherwise: CallResult["outcome"]): CallResult {
         const { text, sentAt, pieceTimes, options } = this;
         const outcome = failed?.error.execution ?? otherwise;
         return { outcome, code: failed?.error.number, text, sentAt, endedAt: options.clock.now(), pieceTimes };
--- a/packages/proof/src/lib/holder/CarelessDuty.ts
+++ b/packages/proof/src/lib/holder/StaleLeaseDuty.ts
@@ -5,14 +5,14 @@
 import { setTimeout as pause } from "node:timers/promises";
 
 /** A target, and where its agent is found. @internal */
-export interface OrderedTarget extends Address {
+export interface TargetAddress extends Address {
     readonly name: string;
 }
 
 /** @internal */
-export interface CarelessDutyOptions {
+export interface StaleLeaseDutyOptions {
     readonly dataCentre: string;
-    readonly targets: readonly OrderedTarget[];
+    readonly targets: readonly TargetAddress[];
     readonly pool: LinkPool;
     readonly record: HistoryRecorder;
     /** Runs for each order that a target refused because of its fence. */
@@ -31,11 +31,11 @@
  *
  * @internal
  */
-export class CarelessDuty implements Duty {
+export class StaleLeaseDuty implements Duty {
     readonly name: string;
     readonly dataCentre: string;
 
-    constructor(private readonly options: CarelessDutyOptions) {
+    constructor(private readonly options: StaleLeaseDutyOptions) {
         this.dataCentre = options.dataCentre;
         this.name = ordersDuty(options.dataCentre);
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    private async order(target: OrderedTarget, fence: number): Promise<void> {
+    private async order(target: TargetAddress, fence: number): Promise<void> {
         const { pool, record, onStaleFence } = this.options;
         const link = await pool.connect(target);
         if (link.isErr) {
--- a/packages/proof/src/lib/holder/runHolder.ts
+++ b/packages/proof/src/lib/holder/runHolder.ts
@@ -3,15 +3,15 @@
 import { HttpTableStore, PlatformConnection, StoreClient } from "@waxwingspar/stores";
 import { protocolVersion, TcpLinkPool } from "@waxwingspar/transport";
 import { seededRandom, SystemClock, uniqueId } from "@waxwingspar/utils";
-import { CarelessDuty, type OrderedTarget } from "./CarelessDuty.js";
+import { StaleLeaseDuty, type TargetAddress } from "./StaleLeaseDuty.js";
 
 /** The settings of a holder's process. @internal */
-export interface HolderFile {
+export interface HolderSettings {
     readonly name: string;
     readonly dataCentre: string;
     /** The names of all holders of the data centre. */
     readonly holders: readonly string[];
-    readonly targets: readonly OrderedTarget[];
+    readonly targets: readonly TargetAddress[];
     readonly platform: string;
     readonly history: string;
 }
@@ -30,7 +30,7 @@
  * @returns Gives the duty up and ends.
  * @internal
  */
-export async function runHolder(settings: HolderFile): Promise<() => Promise<void>> {
+export async function runHolder(settings: HolderSettings): Promise<() => Promise<void>> {
     const { name, dataCentre, holders, targets } = settings;
     const clock = new SystemClock();
     const random = seededRandom(1);
@@ -59,7 +59,7 @@
         random,
         process: name,
         incarnation,
-        duties: [new CarelessDuty({ dataCentre, targets, pool, record, onStaleFence })],
+        duties: [new StaleLeaseDuty({ dataCentre, targets, pool, record, onStaleFence })],
         members: () => holders.map(holder => ({ process: holder, dataCentre, leaving: false })),
         duration,
         interval,
--- a/packages/proof/src/lib/relay/Relay.ts
+++ b/packages/proof/src/lib/relay/Relay.ts
@@ -36,7 +36,7 @@
     readonly opener?: string;
 }
 
-const heldPoll = 5;
+const cutPollInterval = 5;
 const millisecondsPerSecond = 1000;
 
 /**
@@ -74,7 +74,7 @@
             socket.on("error", () => undefined);
             socket.once("close", () => this.sockets.delete(socket));
         }
-        const identify = (piece: Buffer) => opener ??= nameIn(piece, names);
+        const identify = (piece: Buffer) => opener ??= findProcessName(piece, names);
         void pump(near, far, () => policy(opener, process), identify);
         void pump(far, near, () => opener === undefined ? policy(undefined, process) : policy(process, opener));
     }
@@ -118,7 +118,7 @@
 
 async function waitWhileCut(to: Socket, fault: () => LinkFault | undefined): Promise<void> {
     while (fault()?.cut === true && !to.destroyed) {
-        await pause(heldPoll);
+        await pause(cutPollInterval);
     }
 }
 
@@ -132,7 +132,7 @@
 }
 
 /** The name of the process that a plaintext hello carries; the longest that fits. */
-function nameIn(piece: Buffer, names: readonly string[]): string | undefined {
+function findProcessName(piece: Buffer, names: readonly string[]): string | undefined {
     const text = piece.toString("latin1");
     return names.filter(name => text.includes(name)).sort((a, b) => b.length - a.length)[0];
 }
--- a/packages/proof/src/lib/report/ScenarioResult.ts
+++ b/packages/proof/src/lib/report/ScenarioResult.ts
@@ -1,5 +1,5 @@
 import { type HistoryReport } from "@waxwingspar/history";
-import { type RequestEnd, type RequestKind } from "../callers/Callers.js";
+import { type RequestKind, type RequestResult } from "../callers/Callers.js";
 import { type Recovery } from "./Recovery.js";
 
 /** How many requests of one kind ended how. @internal */
@@ -35,7 +35,7 @@
 }
 
 /** Counts requests by kind and outcome. @internal */
-export function countOutcomes(ends: readonly RequestEnd[]): Record<RequestKind, OutcomeCount> {
+export function countOutcomes(ends: readonly RequestResult[]): Record<RequestKind, OutcomeCount> {
     const counts: Record<RequestKind, OutcomeCount> = {
         model: emptyCount(),
         "claimed model": emptyCount(),
@@ -49,9 +49,9 @@
 }
 
 /** Counts the tries that failed by kind of request, outcome and result code. @internal */
-export function countCodes(ends: readonly RequestEnd[]): Record<string, number> {
+export function countCodes(ends: readonly RequestResult[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { kind, tries } of ends) {
+    for (const { kind, attempts: tries } of ends) {
         for (const { outcome, code = 0 } of tries.filter(one => one.outcome !== "completed")) {
             const name = `${kind} ${outcome} ${code}`;
             counts[name] = (counts[name] ?? 0) + 1;
--- a/packages/proof/src/lib/report/checkPlants.ts
+++ b/packages/proof/src/lib/report/checkPlantedViolations.ts
@@ -1,5 +1,5 @@
 import { checkHistory, type CheckOptions, type HistoryLine, readHistory } from "@waxwingspar/history";
-import { plants } from "./plants.js";
+import { plantedViolations } from "./plantedViolations.js";
 import { type ScenarioCheck } from "./ScenarioResult.js";
 
 /**
@@ -8,12 +8,15 @@
  *
  * @internal
  */
-export async function checkPlants(files: readonly string[], options: CheckOptions): Promise<ScenarioCheck[]> {
+export async function checkPlantedViolations(
+    files: readonly string[],
+    options: CheckOptions,
+): Promise<ScenarioCheck[]> {
     const lines: HistoryLine[] = [];
     for (const file of files) {
         await readHistory(file, line => void lines.push(line));
     }
-    return plants.map(({ rule, what, apply }) => {
+    return plantedViolations.map(({ rule, description: what, apply }) => {
         const changed = apply(lines);
         const name = `planted fault of rule ${rule} is caught: ${what}`;
         if (changed === undefined) {
--- a/packages/proof/src/lib/report/formatResult.ts
+++ b/packages/proof/src/lib/report/formatResult.ts
@@ -49,7 +49,7 @@
         recovery.broken,
         rounded(recovery.medianGap),
         rounded(recovery.longestGap),
-        rounded(recovery.goodputBack, "not"),
+        rounded(recovery.goodputRecoveryTime, "not"),
         rounded(recovery.lowestRate === undefined ? undefined : recovery.lowestRate * percent),
         rounded(result.longestActivation),
         holds(result) ? "yes" : "NO",
--- a/packages/proof/src/lib/report/plants.ts
+++ b/packages/proof/src/lib/report/plantedViolations.ts
@@ -1,9 +1,9 @@
 import { type HistoryLine, type HistoryRule } from "@waxwingspar/history";
 
 /** A change of a history after which one rule must be broken. @internal */
-export interface Plant {
+export interface PlantedViolation {
     readonly rule: HistoryRule;
-    readonly what: string;
+    readonly description: string;
     /** The changed history; undefined if this history has no place for the change. */
     readonly apply: (lines: readonly HistoryLine[]) => HistoryLine[] | undefined;
 }
@@ -53,12 +53,12 @@
     return replaceLine(lines, old, line => [{ ...line, body: { ...line.body, ...change } }]);
 }
 
-function deliveredRequests(lines: readonly HistoryLine[]): Set<string> {
+function findDeliveredRequests(lines: readonly HistoryLine[]): Set<string> {
     return new Set(lines.flatMap(line => isLine(line, "tokens.sent") ? [line.body.request] : []));
 }
 
 /** Copies the last work that a target accepted before it began to leave to a time behind its bound. */
-function acceptLate(lines: readonly HistoryLine[]): HistoryLine[] | undefined {
+function acceptWorkAfterBound(lines: readonly HistoryLine[]): HistoryLine[] | undefined {
     const leaving = lines.filter(line => isLine(line, "target.leaving"))
         .find(({ body }) => lines.some(line => isLine(line, "work.accepted") && line.body.target === body.target));
     const accepted = lines.find(line => isLine(line, "work.accepted") && line.body.target === leaving?.body.target);
@@ -70,10 +70,10 @@
 }
 
 /** One planted fault for each rule, made in the history of a real run. @internal */
-export const plants: readonly Plant[] = [
+export const plantedViolations: readonly PlantedViolation[] = [
     {
         rule: "recording",
-        what: "a line of an agent is dropped",
+        description: "a line of an agent is dropped",
         apply(lines) {
             const dropped = findMiddle(lines, "layers.run");
             return dropped === undefined ? undefined : lines.filter(line => line !== dropped);
@@ -81,9 +81,9 @@
     },
     {
         rule: "layers",
-        what: "one run of layers of a delivered answer is dropped",
+        description: "one run of layers of a delivered answer is dropped",
         apply(lines) {
-            const delivered = deliveredRequests(lines);
+            const delivered = findDeliveredRequests(lines);
             const fits = ({ request, position, count }: EventOf<"layers.run">) =>
                 delivered.has(request) && position > 0 && count === 1;
             return replaceLine(lines, findMiddle(lines, "layers.run", fits), () => []);
@@ -91,23 +91,23 @@
     },
     {
         rule: "layers",
-        what: "one run of layers happens twice",
+        description: "one run of layers happens twice",
         apply: lines => replaceLine(lines, findMiddle(lines, "layers.run"), line => [line, line]),
     },
     {
         rule: "delivery",
-        what: "tokens are sent twice to a caller",
+        description: "tokens are sent twice to a caller",
         apply: lines => replaceLine(lines, findMiddle(lines, "tokens.sent"), line => [line, line]),
     },
     {
         rule: "answers",
-        what: "a caller receives another text",
+        description: "a caller receives another text",
         apply: lines =>
             changeLine(lines, findMiddle(lines, "caller.ended", end => end.outcome === "completed"), { digest: "0" }),
     },
     {
         rule: "not-run",
-        what: "a request that ran is called not run",
+        description: "a request that ran is called not run",
         apply(lines) {
             const ran = new Set(lines.flatMap(line => isLine(line, "service.run") ? [line.body.request] : []));
             return changeLine(lines, findMiddle(lines, "request.ended", end => ran.has(end.request)), {
@@ -117,7 +117,7 @@
     },
     {
         rule: "at-most-once",
-        what: "the service acts twice under one key",
+        description: "the service acts twice under one key",
         apply: lines =>
             replaceLine(
                 lines,
@@ -127,22 +127,22 @@
     },
     {
         rule: "leaving",
-        what: "a leaving target accepts work after its bound",
-        apply: acceptLate,
+        description: "a leaving target accepts work after its bound",
+        apply: acceptWorkAfterBound,
     },
     {
         rule: "stops",
-        what: "a planned stop cuts a request off",
+        description: "a planned stop cuts a request off",
         apply: lines => changeLine(lines, findMiddle(lines, "process.stopped"), { interrupted: 1 }),
     },
     {
         rule: "configuration",
-        what: "one process has another configuration under the same revision",
+        description: "one process has another configuration under the same revision",
         apply: lines => changeLine(lines, findMiddle(lines, "config.applied"), { digest: "0" }),
     },
     {
         rule: "orders",
-        what: "a target carries out an order with an older fence",
+        description: "a target carries out an order with an older fence",
         apply: lines =>
             replaceLine(lines, findMiddle(lines, "order.applied"), line => [
                 line,
@@ -151,7 +151,7 @@
     },
     {
         rule: "writes",
-        what: "a write takes effect twice",
+        description: "a write takes effect twice",
         apply: lines => replaceLine(lines, findMiddle(lines, "write.effect"), line => [line, line]),
     },
 ];
--- a/packages/proof/src/lib/runScenario.test.ts
+++ b/packages/proof/src/lib/runScenario.test.ts
@@ -23,7 +23,7 @@
         layout: smallSite,
         modelRate: 4,
         serviceRate: 6,
-        plants,
+        plantsViolations: plants,
     });
     t.diagnostic(formatDetails(result));
     return result;
--- a/packages/proof/src/lib/runScenario.ts
+++ b/packages/proof/src/lib/runScenario.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { setTimeout as pause } from "node:timers/promises";
 import { Callers } from "./callers/Callers.js";
-import { checkPlants } from "./report/checkPlants.js";
+import { checkPlantedViolations } from "./report/checkPlantedViolations.js";
 import { longestActivation } from "./report/longestActivation.js";
 import { measureRecovery } from "./report/Recovery.js";
 import { countCodes, countOutcomes, type ScenarioCheck, type ScenarioResult } from "./report/ScenarioResult.js";
@@ -23,7 +23,7 @@
     readonly modelRate?: number;
     readonly serviceRate?: number;
     /** Whether to plant faults into the history afterwards, each of which the check must catch. */
-    readonly plants?: boolean;
+    readonly plantsViolations?: boolean;
 }
 
 const warmUp = 7000;
@@ -75,7 +75,7 @@
             site,
             clock,
             random,
-            ends: () => callers.ends,
+            results: () => callers.results,
             markFault: () => void (fault = clock.now()),
             check: (check: ScenarioCheck) => void checks.push(check),
         };
@@ -87,15 +87,15 @@
         const files = [callersFile, ...site.historyFiles];
         const checkOptions = { baseRevision, configured: site.layout.daemons.map(({ name }) => name) };
         const history = await checkFiles(files, checkOptions);
-        const planted = options.plants === true ? await checkPlants(files, checkOptions) : [];
-        const staleOrders = await site.staleOrders();
-        const recovery = measureRecovery(callers.ends, fault, end);
+        const planted = options.plantsViolations === true ? await checkPlantedViolations(files, checkOptions) : [];
+        const staleOrders = await site.countStaleOrders();
+        const recovery = measureRecovery(callers.results, fault, end);
         return {
             scenario: scenario.name,
             seed,
-            outcomes: countOutcomes(callers.ends),
-            codes: countCodes(callers.ends),
-            repeated: callers.ends.filter(({ tries }) => tries.length > 1).length,
+            outcomes: countOutcomes(callers.results),
+            codes: countCodes(callers.results),
+            repeated: callers.results.filter(({ attempts: tries }) => tries.length > 1).length,
             history,
             recovery,
             longestActivation: await longestActivation(files),
@@ -118,11 +118,11 @@
     return report.value;
 }
 
-function staleCheck({ staleOrders = false }: Scenario, count: number): ScenarioCheck[] {
+function staleCheck({ expectsStaleOrders: staleOrders = false }: Scenario, count: number): ScenarioCheck[] {
     const name = "targets refused orders with an old fence";
     return staleOrders ? [{ name, holds: count > 0, detail: String(count) }] : [];
 }
 
-function stopCheck({ badEnds }: Site): ScenarioCheck {
+function stopCheck({ failedStops: badEnds }: Site): ScenarioCheck {
     return { name: "every planned stop ends well", holds: badEnds.length === 0, detail: badEnds.join("; ") };
 }
--- a/packages/proof/src/lib/scenarios/Scenario.ts
+++ b/packages/proof/src/lib/scenarios/Scenario.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Random } from "@waxwingspar/utils";
-import { type RequestEnd } from "../callers/Callers.js";
+import { type RequestResult } from "../callers/Callers.js";
 import { type ScenarioCheck } from "../report/ScenarioResult.js";
 import { type Site } from "../site/Site.js";
 
@@ -9,7 +9,7 @@
     readonly clock: Clock;
     readonly random: Random;
     /** The requests that have ended so far. */
-    readonly ends: () => readonly RequestEnd[];
+    readonly results: () => readonly RequestResult[];
     /** Notes the moment of the first fault, from which recovery is measured. */
     readonly markFault: () => void;
     /** Asserts something beside the history. */
@@ -26,5 +26,5 @@
     /** Brings the faults about; the callers send until it resolves, and for the whole duration at least. */
     readonly run: (context: ScenarioContext) => Promise<void>;
     /** True when orders with an old fence must have been sent, as the scenario shows nothing otherwise. */
-    readonly staleOrders?: boolean;
+    readonly expectsStaleOrders?: boolean;
 }
--- a/packages/proof/src/lib/scenarios/chaos.ts
+++ b/packages/proof/src/lib/scenarios/chaos.ts
@@ -39,7 +39,7 @@
         site.resume(`engine-${victim}`);
     },
     async function loseAnswers(site) {
-        await site.storeFaults({ losesBefore: 1, losesAfter: 2 });
+        await site.setStoreFaults({ losesBefore: 1, losesAfter: 2 });
     },
 ];
 
@@ -75,7 +75,7 @@
             await pause(roundLength);
         }
         site.linkFault = () => undefined;
-        await site.storeFaults({ losesBefore: 0, losesAfter: 0 });
+        await site.setStoreFaults({ losesBefore: 0, losesAfter: 0 });
         await Promise.all(working);
         await pause(faultTime);
     },
--- a/packages/proof/src/lib/scenarios/operatorsRace.ts
+++ b/packages/proof/src/lib/scenarios/operatorsRace.ts
@@ -9,7 +9,7 @@
 const rounds = 20;
 const statusOk = 200;
 const statusConflict = 409;
-const inForceLimit = 4000;
+const propagationTimeout = 4000;
 const raceInterval = 200;
 const resourceSchema = z.object({ resourceVersion: z.number().int(), spec: z.object({ share: z.number() }) });
 
@@ -61,10 +61,10 @@
             else {
                 unexpected.push(`round ${round}: ${statuses.join(" and ")}`);
             }
-            version = await nextVersion(site, version);
+            version = await waitForNextVersion(site, version);
             await pause(raceInterval);
         }
-        await pause(inForceLimit);
+        await pause(propagationTimeout);
         const entries = site.layout.daemons.filter(({ role }) => role === "entry");
         const states = await Promise.all(entries.map(({ name }) => read(site, name)));
         const agreed = states.filter(({ spec }) => spec.share === last).length;
@@ -82,8 +82,8 @@
 };
 
 /** Waits until a newer version is in force where it is read. */
-async function nextVersion(site: Site, version: number): Promise<number> {
-    for (let waited = 0; waited < inForceLimit; waited += raceInterval / 4) {
+async function waitForNextVersion(site: Site, version: number): Promise<number> {
+    for (let waited = 0; waited < propagationTimeout; waited += raceInterval / 4) {
         const { resourceVersion } = await read(site, "entry-1");
         if (resourceVersion > version) {
             return resourceVersion;
--- a/packages/proof/src/lib/scenarios/processScenarios.ts
+++ b/packages/proof/src/lib/scenarios/processScenarios.ts
@@ -2,7 +2,7 @@
 import { type Scenario, type ScenarioContext } from "./Scenario.js";
 
 /** Milliseconds until the platform's live list tells of a host that died or left. */
-const listNotices = 3000;
+const liveListDelay = 3000;
 
 function pick({ random }: ScenarioContext, names: readonly string[]): string {
     return names[random.below(names.length)] ?? "";
@@ -22,7 +22,7 @@
         const victim = pick(context, near(2));
         markFault();
         await site.killHost(victim);
-        await pause(listNotices);
+        await pause(liveListDelay);
         await site.list(victim, undefined);
     },
 };
@@ -36,7 +36,7 @@
         const victim = pick(context, near(1));
         markFault();
         await site.killHost(victim);
-        await pause(listNotices);
+        await pause(liveListDelay);
         await site.list(victim, undefined);
     },
 };
@@ -65,7 +65,7 @@
         const victim = pick(context, ["entry-1", "entry-2", "entry-3"]);
         markFault();
         await site.kill(victim);
-        await pause(listNotices);
+        await pause(liveListDelay);
         await site.startDaemon(victim);
     },
 };
@@ -86,7 +86,7 @@
 
 const pausedHolder: Scenario = {
     name: "paused-holder",
-    staleOrders: true,
+    expectsStaleOrders: true,
     row: "lease lapses while paused, the holder resumes",
     summary:
         "SIGSTOP of the holders of all three control duties (leases of 3 s), of an entry, which owns claims, and of "
@@ -94,14 +94,14 @@
     async run(context) {
         const { site, markFault, check } = context;
         const centres = ["dc1", "dc2", "dc3"];
-        const before = await Promise.all(centres.map(centre => site.dutyHolder(centre)));
+        const before = await Promise.all(centres.map(centre => site.findDutyHolder(centre)));
         const holders = before.filter(holder => holder !== undefined);
         const others = [pick(context, ["entry-1", "entry-2", "entry-3"]), pick(context, ["records-1", "records-2"])];
         markFault();
         const victims = new Set([...holders, ...others]);
         victims.forEach(victim => site.pause(victim));
         await pause(7000);
-        const after = await Promise.all(centres.map(centre => site.dutyHolder(centre)));
+        const after = await Promise.all(centres.map(centre => site.findDutyHolder(centre)));
         victims.forEach(victim => site.resume(victim));
         const moved = after.filter((holder, index) => holder !== undefined && holder !== before[index]).length;
         check({
@@ -122,7 +122,7 @@
         const victims = [...[1, 2, 3].map(stage => pick(context, near(stage))), "records-1", "entry-2"];
         markFault();
         const ends = victims.map(victim => site.terminate(victim));
-        await pause(listNotices);
+        await pause(liveListDelay);
         await Promise.all(victims.map(victim => site.list(victim, "leaving")));
         await Promise.all(ends);
         await Promise.all(victims.map(victim => site.list(victim, undefined)));
@@ -166,7 +166,7 @@
         const names = [...daemons, ...holders].filter(({ dataCentre }) => dataCentre === "dc1").map(({ name }) => name);
         markFault();
         await Promise.all(names.map(name => site.killHost(name)));
-        await pause(listNotices);
+        await pause(liveListDelay);
         await Promise.all(names.map(name => site.list(name, undefined)));
     },
 };
--- a/packages/proof/src/lib/scenarios/rollout.ts
+++ b/packages/proof/src/lib/scenarios/rollout.ts
@@ -10,9 +10,9 @@
 const replicas = 2;
 /** Half of the layers fit into the memory of a target in two versions, so that no pipeline has to go first. */
 const layerBytes = 6_600_000_000;
-const patience = 60_000;
+const rolloutTimeout = 60_000;
 /** The part of the rate before the rollout that has to be completed while it runs. */
-const leastRate = 0.9;
+const minRateShare = 0.9;
 const pollInterval = 100;
 const steadyTime = 10_000;
 
@@ -58,7 +58,7 @@
 }
 
 async function until(site: Site, holds: (placements: readonly Placement[]) => boolean): Promise<void> {
-    for (let waited = 0; waited < patience; waited += pollInterval) {
+    for (let waited = 0; waited < rolloutTimeout; waited += pollInterval) {
         const { items } = placementsSchema.parse(await call(site, "placement"));
         if (holds(items.map(({ spec }) => spec).filter(({ model }) => model === rolloutModel.model))) {
             return;
@@ -71,7 +71,7 @@
 const countReady = (placements: readonly Placement[], version: string): number =>
     placements.filter(placement => placement.version === version && placement.ready).length;
 
-const isAlone = (version: string) => (placements: readonly Placement[]): boolean =>
+const isOnlyVersion = (version: string) => (placements: readonly Placement[]): boolean =>
     placements.length === replicas && countReady(placements, version) === replicas;
 
 /** A new version of a placed model takes over on real processes, under requests at a fixed rate. */
@@ -85,7 +85,7 @@
         await Promise.all(rivals.map(({ name }) => site.kill(name)));
         await setModel(site, "v1");
         await removePins(site);
-        await until(site, isAlone("v1"));
+        await until(site, isOnlyVersion("v1"));
         const callers = new RolloutCallers(clock, site.origins());
         callers.start();
         await pause(steadyTime);
@@ -94,7 +94,7 @@
         await setModel(site, "v2");
         await until(site, placements => countReady(placements, "v2") > 0);
         const first = clock.now();
-        await until(site, isAlone("v2"));
+        await until(site, isOnlyVersion("v2"));
         const alone = clock.now();
         await pause(steadyTime);
         const end = clock.now();
@@ -114,7 +114,7 @@
         const times = `first pipeline of v2 after ${seconds(first - begun)}, v2 alone after ${seconds(alone - begun)}`;
         check({
             name: "as many requests a second are completed while the version changes:",
-            holds: mean(during) >= leastRate * mean(before),
+            holds: mean(during) >= minRateShare * mean(before),
             detail: `before ${describe(before)}; during ${describe(during)}; after ${describe(after)}; ${times}`,
         });
     },
--- a/packages/proof/src/lib/scenarios/rolloutCallers.ts
+++ b/packages/proof/src/lib/scenarios/rolloutCallers.ts
@@ -35,7 +35,7 @@
     constructor(private readonly clock: Clock, private readonly origins: readonly string[]) {}
 
     start(): void {
-        this.sending = this.arrive();
+        this.sending = this.sendAtRate();
     }
 
     /** Sends no more, and waits for what was sent. */
@@ -58,7 +58,7 @@
         return counts;
     }
 
-    private async arrive(): Promise<void> {
+    private async sendAtRate(): Promise<void> {
         for (let number = 0; !this.stopped; number++) {
             const call = this.call(`Which seal of forklift ${number} leaks first?`, number);
             this.open.add(call);
--- a/packages/proof/src/lib/scenarios/storeScenarios.ts
+++ b/packages/proof/src/lib/scenarios/storeScenarios.ts
@@ -1,11 +1,11 @@
 import { setTimeout as pause } from "node:timers/promises";
-import { type RequestEnd } from "../callers/Callers.js";
+import { type RequestResult } from "../callers/Callers.js";
 import { type Scenario, type ScenarioContext } from "./Scenario.js";
 
 const outage = 20_000;
-const claimsLimit = 60_000;
-const claimsPoll = 50;
-const aftermath = 4000;
+const claimsTimeout = 60_000;
+const claimsPollInterval = 50;
+const settleTime = 4000;
 const slowDelay = 700;
 const lossRounds = 12;
 const lossInterval = 500;
@@ -15,17 +15,17 @@
 const copyPause = 3000;
 
 /** Waits until calls that are not idempotent complete again, and some seconds more. */
-async function waitForClaims({ clock, ends, check }: ScenarioContext): Promise<void> {
+async function waitForClaims({ clock, results: ends, check }: ScenarioContext): Promise<void> {
     const from = clock.now();
-    const isNew = ({ kind, outcome, tries }: RequestEnd) =>
+    const isNew = ({ kind, outcome, attempts: tries }: RequestResult) =>
         kind === "publish" && outcome === "completed" && (tries[0]?.sentAt ?? from) > from;
-    while (!ends().some(isNew) && clock.now() < from + claimsLimit) {
-        await pause(claimsPoll);
+    while (!ends().some(isNew) && clock.now() < from + claimsTimeout) {
+        await pause(claimsPollInterval);
     }
     const back = ends().some(isNew);
     const waited = Math.round(clock.now() - from);
     check({ name: "claims are granted again after the outage", holds: back, detail: `first seen after ${waited} ms` });
-    await pause(aftermath);
+    await pause(settleTime);
 }
 
 const storeDown: Scenario = {
@@ -35,9 +35,9 @@
     async run(context) {
         const { site, markFault } = context;
         markFault();
-        await site.storeFaults({ down: true });
+        await site.setStoreFaults({ down: true });
         await pause(outage);
-        await site.storeFaults({ down: false });
+        await site.setStoreFaults({ down: false });
         await waitForClaims(context);
     },
 };
@@ -48,9 +48,9 @@
     summary: "every call of the table service takes 0.7 s before its effect and 0.7 s after, for 8 s",
     async run({ site, markFault }) {
         markFault();
-        await site.storeFaults({ delay: slowDelay, answerDelay: slowDelay });
+        await site.setStoreFaults({ delay: slowDelay, answerDelay: slowDelay });
         await pause(8000);
-        await site.storeFaults({ delay: 0, answerDelay: 0 });
+        await site.setStoreFaults({ delay: 0, answerDelay: 0 });
     },
 };
 
@@ -62,10 +62,10 @@
     async run({ site, markFault }) {
         markFault();
         for (let round = 0; round < lossRounds; round++) {
-            await site.storeFaults({ losesBefore: 1, losesAfter: 2 });
+            await site.setStoreFaults({ losesBefore: 1, losesAfter: 2 });
             await pause(lossInterval);
         }
-        await site.storeFaults({ losesBefore: 0, losesAfter: 0 });
+        await site.setStoreFaults({ losesBefore: 0, losesAfter: 0 });
     },
 };
 
@@ -78,13 +78,13 @@
     async run(context) {
         const { site, random, markFault } = context;
         markFault();
-        await site.storeFaults({ down: true });
+        await site.setStoreFaults({ down: true });
         const stage = `stage-2-${1 + random.below(2)}`;
         const entry = `entry-${1 + random.below(2)}`;
         await Promise.all([site.killHost(stage), site.kill(entry), site.kill("records-1")]);
         const restarted = [site.startDaemon(entry), site.startDaemon("records-1")];
         await pause(8000);
-        await site.storeFaults({ down: false });
+        await site.setStoreFaults({ down: false });
         await Promise.all([...restarted, site.list(stage, undefined)]);
         await waitForClaims(context);
     },
@@ -98,12 +98,12 @@
         const { site, markFault } = context;
         markFault();
         for (let round = 0; round < copyRounds; round++) {
-            await site.storeCopy("save");
+            await site.manageStoreCopy("save");
             await pause(copyAge);
-            await site.storeFaults({ down: true });
+            await site.setStoreFaults({ down: true });
             await pause(copyOutage);
-            await site.storeCopy("use");
-            await site.storeFaults({ down: false });
+            await site.manageStoreCopy("use");
+            await site.setStoreFaults({ down: false });
             await pause(copyPause);
         }
         await waitForClaims(context);
--- a/packages/proof/src/lib/site/Site.ts
+++ b/packages/proof/src/lib/site/Site.ts
@@ -20,7 +20,7 @@
 const distFolder = dirname(dirname(dirname(fileURLToPath(import.meta.url))));
 const cliScript = join(dirname(createRequire(import.meta.url).resolve("waxwingspar")), "bin.js");
 const stopLimit = 60_000;
-const holderPoll = 50;
+const holderPollInterval = 50;
 const noFault: LinkFault = {};
 const leaseAnswerSchema = z.object({ value: z.object({ value: z.object({ holder: z.string() }) }) });
 
@@ -33,7 +33,7 @@
 export class Site {
     readonly historyFiles: string[] = [];
     /** Daemons that were asked to stop and ended with another code than 0, with how they ended. */
-    readonly badEnds: string[] = [];
+    readonly failedStops: string[] = [];
     /** Decides the faults of links; undefined means none. */
     linkFault: FaultPolicy = () => undefined;
     private readonly processes = new Map<string, SiteProcess>();
@@ -120,7 +120,7 @@
         process?.signal("SIGTERM");
         const inTime = await process?.waitForEnd(stopLimit);
         if (process !== undefined && (inTime !== true || process.end !== "0")) {
-            this.badEnds.push(`${name}: ${process.end ?? "did not end"}`);
+            this.failedStops.push(`${name}: ${process.end ?? "did not end"}`);
         }
     }
 
@@ -149,12 +149,12 @@
     /** Sets what the platform's live list says of a daemon; undefined removes it. */
     async list(name: string, state: "live" | "leaving" | undefined): Promise<void> {
         await (state === undefined
-            ? this.admin("/admin/hosts/remove", { process: name })
-            : this.admin("/admin/hosts/set", liveHost(this.daemon(name), state)));
+            ? this.callAdmin("/admin/hosts/remove", { process: name })
+            : this.callAdmin("/admin/hosts/set", liveHost(this.daemon(name), state)));
     }
 
     /** Orders of the careless holders that targets refused because of their fence. */
-    async staleOrders(): Promise<number> {
+    async countStaleOrders(): Promise<number> {
         const logs = await Promise.all(
             this.layout.holders.map(({ name }) => readFile(join(this.folder, `${name}.log`), "utf8")),
         );
@@ -162,22 +162,22 @@
     }
 
     /** The daemon that took the duty of orders of a data centre last. */
-    async dutyHolder(dataCentre: string): Promise<string | undefined> {
-        const answer = await this.admin("/table/get", { key: `lease/orders/${dataCentre}` });
+    async findDutyHolder(dataCentre: string): Promise<string | undefined> {
+        const answer = await this.callAdmin("/table/get", { key: `lease/orders/${dataCentre}` });
         return leaseAnswerSchema.safeParse(answer).data?.value.value.holder;
     }
 
     /** Sets faults of the table service. */
-    async storeFaults(faults: object): Promise<void> {
-        await this.admin("/admin/faults", { service: "table", faults });
+    async setStoreFaults(faults: object): Promise<void> {
+        await this.callAdmin("/admin/faults", { service: "table", faults });
     }
 
     /** Saves a copy of the table service, or lets it come back from the last one. */
-    async storeCopy(action: "save" | "use"): Promise<void> {
-        await this.admin("/admin/table/copy", { action });
+    async manageStoreCopy(action: "save" | "use"): Promise<void> {
+        await this.callAdmin("/admin/table/copy", { action });
     }
 
-    private async admin(path: string, body: object): Promise<unknown> {
+    private async callAdmin(path: string, body: object): Promise<unknown> {
         const url = `http://${platformHost}:${this.layout.platformPort}${path}`;
         const response = await fetch(url, { method: "POST", body: JSON.stringify(body) });
         const text = await response.text();
@@ -206,11 +206,11 @@
         const centres = new Set(this.layout.holders.map(({ dataCentre }) => dataCentre));
         for (const centre of centres) {
             const deadline = performance.now() + stopLimit;
-            while (await this.dutyHolder(centre) === undefined) {
+            while (await this.findDutyHolder(centre) === undefined) {
                 if (performance.now() > deadline) {
                     throw new Error(`nobody took the duty of ${centre}`);
                 }
-                await pause(holderPoll);
+                await pause(holderPollInterval);
             }
         }
     }
--- a/packages/proof/src/lib/site/SiteProcess.ts
+++ b/packages/proof/src/lib/site/SiteProcess.ts
@@ -13,8 +13,8 @@
     readonly readyUrl?: string;
 }
 
-const readyPoll = 50;
-const readyLimit = 60_000;
+const readyPollInterval = 50;
+const readyTimeout = 60_000;
 const memoryLimit = "--max-old-space-size=256";
 
 /**
@@ -52,13 +52,13 @@
 
     /** Waits until it is ready. @throws Error if it ends before, or takes a minute. */
     async ready(): Promise<void> {
-        const deadline = performance.now() + readyLimit;
+        const deadline = performance.now() + readyTimeout;
         const { readyUrl } = this.options;
         while (readyUrl !== undefined && !await answers(readyUrl)) {
             if (!this.running || performance.now() > deadline) {
                 throw new Error(`${this.name} did not become ready (${this.end ?? "still running"})`);
             }
-            await pause(readyPoll);
+            await pause(readyPollInterval);
         }
     }
 
--- a/packages/proof/src/lib/site/runPlatform.ts
+++ b/packages/proof/src/lib/site/runPlatform.ts
@@ -11,7 +11,7 @@
 import { seededRandom, SystemClock, uniqueId } from "@waxwingspar/utils";
 
 /** The settings of the platform's process. @internal */
-export interface PlatformFile {
+export interface PlatformSettings {
     readonly port: number;
     readonly hosts: readonly LiveHost[];
     readonly resources: readonly unknown[];
@@ -28,7 +28,7 @@
  * @returns Closes them.
  * @internal
  */
-export async function runPlatform(settings: PlatformFile): Promise<() => Promise<void>> {
+export async function runPlatform(settings: PlatformSettings): Promise<() => Promise<void>> {
     const clock = new SystemClock();
     const path = settings.history;
     const opened = await FileRecorder.open({ clock, path, process: "platform", incarnation: uniqueId() });
