--- a/packages/proof/src/lib/callers/Callers.ts
+++ b/packages/proof/src/lib/callers/Callers.ts
@@ -12,9 +12,9 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly recorder: FileRecorder;
-    /** Where the entries take callers. */
+    /** The HTTP origins of the entries. */
     readonly origins: readonly string[];
-    /** Model requests and plain calls that arrive in a second, whatever becomes of those before. */
+    /** Model requests per second, and service calls per second; the rates do not depend on earlier requests. */
     readonly modelRate: number;
     readonly serviceRate: number;
 }
@@ -22,7 +22,7 @@
 /** The kinds of requests that callers send. @internal */
 export type RequestKind = "model" | "claimed model" | "read" | "publish";
 
-/** One request with all its tries. @internal */
+/** The outcome of one request, with all its attempts. @internal */
 export interface RequestResult {
     readonly kind: RequestKind;
     readonly outcome: CallResult["outcome"];
@@ -39,20 +39,24 @@
 }
 
 const maxAttempts = 4;
+/** Milliseconds before the first retry; the delay grows by as much with each further attempt. */
 const retryDelay = 150;
 const claimedShare = 0.2;
 const publishShare = 0.6;
-/** Shares of publishing calls that are sent twice at the same moment, and again some seconds later. */
+/** Share of the calls with an idempotency key that are sent twice at the same moment. */
 const concurrentDuplicateShare = 0.3;
+/** Share of the calls with an idempotency key that are sent again later. */
 const delayedDuplicateShare = 0.3;
+/** Milliseconds after which a delayed duplicate is sent. */
 const duplicateDelay = 4000;
-/** How much the time between two requests varies, as a share of it. */
+/** Width of the variation of the time between two requests, as a share of the mean. */
 const jitter = 0.4;
 const millisecondsPerSecond = 1000;
 
 /**
- * Open-loop callers: requests arrive at their rate whatever becomes of those before. A request that fails is sent again
- * under its key at another entry; some are sent at two entries at the same moment, and some again much later.
+ * Open-loop callers: requests are sent at fixed rates regardless of the outcome of earlier ones. A failed request is
+ * retried at the next entry under the same idempotency key. Some requests with a key are sent twice at the same moment,
+ * and some are sent again seconds later.
  *
  * @internal
  */
@@ -65,14 +69,14 @@
 
     constructor(private readonly options: CallersOptions) {}
 
-    /** Begins to send. */
+    /** Starts sending requests. */
     start(): void {
         const { modelRate, serviceRate } = this.options;
         void this.sendAtRate(modelRate, () => this.modelCall());
         void this.sendAtRate(serviceRate, () => this.serviceCall());
     }
 
-    /** Sends no more, and waits until all that was sent has ended. */
+    /** Stops sending and waits until all requests in flight have ended. */
     async finish(): Promise<void> {
         this.stopped.abort();
         while (this.open.size > 0) {
@@ -143,20 +147,20 @@
         };
     }
 
-    /** Sends a call until it completes or all tries are used; each try goes to the next entry. */
+    /** Sends a call until it completes or all attempts are used; each attempt goes to the next entry. */
     private async run(call: Call): Promise<void> {
         const { origins, random } = this.options;
         const first = random.below(origins.length);
-        const tries: CallResult[] = [];
+        const attempts: CallResult[] = [];
         for (let index = 0; index < maxAttempts; index++) {
             const end = await this.sendAttempt(call, origins[(first + index) % origins.length] ?? "");
-            tries.push(end);
+            attempts.push(end);
             if (end.outcome === "completed") {
                 break;
             }
             await pause(retryDelay * (index + 1));
         }
-        this.results.push({ kind: call.kind, outcome: tries.at(-1)?.outcome ?? "not run", attempts: tries });
+        this.results.push({ kind: call.kind, outcome: attempts.at(-1)?.outcome ?? "not run", attempts });
     }
 
     private async sendAttempt(call: Call, origin: string): Promise<CallResult> {
--- a/packages/proof/src/lib/callers/callEntry.ts
+++ b/packages/proof/src/lib/callers/callEntry.ts
@@ -2,13 +2,13 @@
 import { Agent as Connections, request } from "undici";
 import { z } from "zod";
 
-/** How a call ended, as its caller sees it. @internal */
+/** The outcome of one call as observed by its caller. @internal */
 export interface CallResult {
     readonly outcome: "completed" | "not run" | "unknown";
-    /** The number of the result code, where the entry gave one. */
+    /** The number of the result code, if the entry returned one. */
     readonly code?: number;
     readonly text: string;
-    /** When the call was sent and when it ended, and when each piece of the answer came, by the clock. */
+    /** When the call was sent, when it ended, and when each piece of the answer arrived, by the clock. */
     readonly sentAt: number;
     readonly endedAt: number;
     readonly pieceTimes: readonly number[];
@@ -34,16 +34,16 @@
 });
 const dataPrefix = "data: ";
 const statusOk = 200;
-/** Errors of a connection that was never opened. */
+/** Error codes of connections that were never established, so that the request cannot have run. */
 const connectErrorCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** Creates the connections of the callers; each call has its own. @internal */
+/** Creates a connection pool without pipelining; each call uses a connection of its own. @internal */
 export function createConnections(): Connections {
     return new Connections({ connect: { timeout: 2000 }, headersTimeout: 60_000, bodyTimeout: 60_000, pipelining: 0 });
 }
 
 /**
- * Makes one call and reads its answer to the end, as any caller does.
+ * Sends one call to an entry and reads its answer to the end.
  *
  * @internal
  */
--- a/packages/proof/src/lib/holder/StaleLeaseDuty.ts
+++ b/packages/proof/src/lib/holder/StaleLeaseDuty.ts
@@ -4,7 +4,7 @@
 import { platformCodes, uniqueId } from "@waxwingspar/utils";
 import { setTimeout as pause } from "node:timers/promises";
 
-/** A target, and where its agent is found. @internal */
+/** A target and the address of its agent. @internal */
 export interface TargetAddress extends Address {
     readonly name: string;
 }
@@ -15,19 +15,23 @@
     readonly targets: readonly TargetAddress[];
     readonly pool: LinkPool;
     readonly record: HistoryRecorder;
-    /** Runs for each order that a target refused because of its fence. */
+    /** Called for each order that a target rejects because of its stale fencing token. */
     readonly onStaleFence: () => void;
 }
 
 const orderMethod = "order.apply";
+/** Milliseconds. */
 const orderTimeout = 2000;
-/** Milliseconds between two orders, so that a pause of the process mostly falls between the look and an order. */
+/**
+ * Milliseconds between two orders, so that a pause of the process usually falls between the check of the lease and an
+ * order.
+ */
 const orderPause = 150;
 
 /**
- * A duty whose holder orders every target of its data centre to serve, again and again. It looks at its lease once for
- * all of them, which a careful holder does not do: after a pause it goes on with an old fence, and the agents beside the
- * targets must refuse.
+ * A duty whose holder repeatedly orders every target of its data centre to serve. It deliberately reads its lease only
+ * once per round instead of before each order: after a pause of the process it continues with a stale fencing token, and
+ * the agents of the targets must reject those orders.
  *
  * @internal
  */
--- a/packages/proof/src/lib/holder/runHolder.ts
+++ b/packages/proof/src/lib/holder/runHolder.ts
@@ -5,29 +5,31 @@
 import { seededRandom, SystemClock, uniqueId } from "@waxwingspar/utils";
 import { StaleLeaseDuty, type TargetAddress } from "./StaleLeaseDuty.js";
 
-/** The settings of a holder's process. @internal */
+/** The settings file of a process that competes for a control duty. @internal */
 export interface HolderSettings {
     readonly name: string;
     readonly dataCentre: string;
-    /** The names of all holders of the data centre. */
+    /** The names of all competing processes of the data centre. */
     readonly holders: readonly string[];
     readonly targets: readonly TargetAddress[];
     readonly platform: string;
     readonly history: string;
 }
 
-/** The line that a holder writes for each order that was refused because of its fence. @internal */
+/** The line that a holder writes to standard output for each order rejected for a stale fencing token. @internal */
 export const staleFenceLine = "an order was refused: stale fence";
 
+/** Lease duration in milliseconds. */
 const duration = 3000;
+/** Milliseconds between two ticks of the duty. */
 const interval = 50;
 const readsPerSecond = 20;
 const writesPerSecond = 10;
 
 /**
- * Runs a process that competes for the orders of a data centre.
+ * Runs a process that competes for the lease of the orders duty of a data centre.
  *
- * @returns Gives the duty up and ends.
+ * @returns A function that releases the duty and closes everything.
  * @internal
  */
 export async function runHolder(settings: HolderSettings): Promise<() => Promise<void>> {
--- a/packages/proof/src/lib/relay/Relay.ts
+++ b/packages/proof/src/lib/relay/Relay.ts
@@ -1,19 +1,19 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { setTimeout as pause } from "node:timers/promises";
 
-/** What a link does with the bytes of one direction. @internal */
+/** The fault of one direction of a link. @internal */
 export interface LinkFault {
-    /** Nothing passes: bytes wait, as those of TCP do, until the fault is over. */
+    /** Nothing passes: bytes are held back until the fault ends, as TCP retransmission would deliver them. */
     readonly cut?: boolean;
-    /** Milliseconds that each piece is late. */
+    /** Milliseconds by which each piece is delayed. */
     readonly delay?: number;
-    /** Bytes per second that pass. */
+    /** Throughput in bytes per second. */
     readonly rate?: number;
 }
 
 /**
- * Decides what a link does with bytes that flow from one process to another. A process that is not known yet is
- * undefined.
+ * Returns the fault of the direction from one process to another; undefined means none. The sender is undefined while
+ * the process that opened the connection is not yet identified.
  *
  * @internal
  */
@@ -29,19 +29,20 @@
     readonly port: number;
     /** Where the process listens. */
     readonly targetPort: number;
-    /** Names of all processes, to tell from the first bytes of a plaintext link who opened it. */
+    /** The names of all processes, to identify the opener of a plaintext link from its first bytes. */
     readonly names: readonly string[];
     readonly policy: FaultPolicy;
-    /** Who opens every connection, where that is known. */
+    /** The opener of every connection, if known in advance. */
     readonly opener?: string;
 }
 
+/** Milliseconds between checks whether a cut has ended. */
 const cutPollInterval = 5;
 const millisecondsPerSecond = 1000;
 
 /**
- * A TCP relay in front of one process, which makes the links to it fail as told. A cut holds the bytes back and
- * delivers them late, as retransmission does; it never loses some and delivers others.
+ * A TCP relay in front of one process that injects faults into the links to it. A cut holds bytes back and delivers them
+ * later, as retransmission does; it never drops some bytes while delivering later ones.
  *
  * @internal
  */
@@ -80,7 +81,7 @@
     }
 }
 
-/** Passes on what one socket receives, piece by piece, and its end. */
+/** Forwards the data that one socket receives to the other, applying the current fault, and then its end. */
 async function pump(
     from: Socket,
     to: Socket,
@@ -101,7 +102,7 @@
                 await write(to, piece);
             }
             else {
-                // Pieces travel at the same time, in their order.
+                // Delays of several pieces overlap; the pieces are written in their order.
                 const arrival = pause(delay);
                 last = Promise.all([last, arrival]).then(() => waitWhileCut(to, fault)).then(() => write(to, piece));
             }
@@ -131,7 +132,7 @@
     }
 }
 
-/** The name of the process that a plaintext hello carries; the longest that fits. */
+/** Finds the process name in a plaintext hello; the longest match, as one name may be part of another. */
 function findProcessName(piece: Buffer, names: readonly string[]): string | undefined {
     const text = piece.toString("latin1");
     return names.filter(name => text.includes(name)).sort((a, b) => b.length - a.length)[0];
--- a/packages/proof/src/lib/scenarios/Scenario.ts
+++ b/packages/proof/src/lib/scenarios/Scenario.ts
@@ -3,28 +3,28 @@
 import { type ScenarioCheck } from "../report/ScenarioResult.js";
 import { type Site } from "../site/Site.js";
 
-/** What a scenario works with while the callers send. @internal */
+/** The site, clock and callbacks that a scenario uses while the callers send requests. @internal */
 export interface ScenarioContext {
     readonly site: Site;
     readonly clock: Clock;
     readonly random: Random;
     /** The requests that have ended so far. */
     readonly results: () => readonly RequestResult[];
-    /** Notes the moment of the first fault, from which recovery is measured. */
+    /** Records the current time as that of the first fault, from which recovery is measured. */
     readonly markFault: () => void;
-    /** Asserts something beside the history. */
+    /** Adds an assertion to those of the history. */
     readonly check: (check: ScenarioCheck) => void;
 }
 
-/** A run with faults. @internal */
+/** A run with injected faults. @internal */
 export interface Scenario {
     readonly name: string;
-    /** The row of the failure table in docs/FAILURES.md. */
+    /** The title of its row in the failure table of docs/FAILURES.md. */
     readonly row: string;
-    /** What is done, for the report. */
+    /** The faults that are injected, for the report. */
     readonly summary: string;
-    /** Brings the faults about; the callers send until it resolves, and for the whole duration at least. */
+    /** Injects the faults. The callers send until it resolves, and at least for the duration of the run. */
     readonly run: (context: ScenarioContext) => Promise<void>;
-    /** True when orders with an old fence must have been sent, as the scenario shows nothing otherwise. */
+    /** Whether the scenario is valid only if orders with a stale fencing token were sent and rejected. */
     readonly expectsStaleOrders?: boolean;
 }
--- a/packages/proof/src/lib/scenarios/chaos.ts
+++ b/packages/proof/src/lib/scenarios/chaos.ts
@@ -4,12 +4,14 @@
 import { type Scenario } from "./Scenario.js";
 
 const rounds = 16;
+/** Milliseconds between the starts of two rounds. */
 const roundLength = 1200;
+/** Milliseconds that a fault lasts. */
 const faultTime = 2500;
 
 type Fault = (site: Site, victim: string) => Promise<void>;
 
-/** Faults of one daemon; each ends with the daemon at work again. */
+/** Faults of one daemon; each resolves once the daemon is running again. */
 const faults: readonly Fault[] = [
     async function killAndReplace(site, victim) {
         const daemon = site.daemon(victim);
@@ -47,7 +49,7 @@
     return items[random.below(items.length)];
 }
 
-/** Random faults of random daemons that overlap, and a random link that is cut one way or both. */
+/** Overlapping random faults of random daemons, and a random daemon whose links are cut one way or both. */
 export const chaos: Scenario = {
     name: "chaos",
     row: "two of these at once",
@@ -58,14 +60,14 @@
     async run({ site, random, markFault }) {
         const names = site.layout.daemons.map(({ name }) => name);
         const free = new Set(names);
-        const working: Promise<void>[] = [];
+        const pending: Promise<void>[] = [];
         markFault();
         for (let round = 0; round < rounds; round++) {
             const victim = choose(random, [...free]);
             const fault = choose(random, faults);
             if (victim !== undefined && fault !== undefined) {
                 free.delete(victim);
-                working.push(fault(site, victim).then(() => void free.add(victim)));
+                pending.push(fault(site, victim).then(() => void free.add(victim)));
             }
             if (round % 2 === 0) {
                 const cut = choose(random, names);
@@ -76,7 +78,7 @@
         }
         site.linkFault = () => undefined;
         await site.setStoreFaults({ losesBefore: 0, losesAfter: 0 });
-        await Promise.all(working);
+        await Promise.all(pending);
         await pause(faultTime);
     },
 };
--- a/packages/proof/src/lib/scenarios/networkScenarios.ts
+++ b/packages/proof/src/lib/scenarios/networkScenarios.ts
@@ -1,9 +1,13 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { type Scenario } from "./Scenario.js";
 
+/** Milliseconds. */
 const slowDelay = 60;
+/** Bytes per second. */
 const slowRate = 125_000;
+/** Milliseconds that the fault of a link lasts. */
 const linkFaultTime = 5000;
+/** Milliseconds that the regions are disconnected. */
 const regionFaultTime = 8000;
 
 const linkSlow: Scenario = {
@@ -64,5 +68,5 @@
     },
 };
 
-/** Scenarios with faults of links. @internal */
+/** Scenarios with link faults. @internal */
 export const networkScenarios: readonly Scenario[] = [linkSlow, oneWayCut, linkCut, regionsCut];
--- a/packages/proof/src/lib/scenarios/operatorsRace.ts
+++ b/packages/proof/src/lib/scenarios/operatorsRace.ts
@@ -9,7 +9,9 @@
 const rounds = 20;
 const statusOk = 200;
 const statusConflict = 409;
+/** Milliseconds within which an accepted change must be in force on every entry. */
 const propagationTimeout = 4000;
+/** Milliseconds between two rounds. */
 const raceInterval = 200;
 const resourceSchema = z.object({ resourceVersion: z.number().int(), spec: z.object({ share: z.number() }) });
 
@@ -35,7 +37,7 @@
     return response.status;
 }
 
-/** Two operators who read the same version write at the same moment, again and again. */
+/** In each round two operators write the same resource at the same time, from the same version. */
 export const operatorsRace: Scenario = {
     name: "operators-race",
     row: "two operators race",
@@ -81,7 +83,7 @@
     },
 };
 
-/** Waits until a newer version is in force where it is read. */
+/** Waits until entry-1 returns a newer version; returns the old one if that does not happen in time. */
 async function waitForNextVersion(site: Site, version: number): Promise<number> {
     for (let waited = 0; waited < propagationTimeout; waited += raceInterval / 4) {
         const { resourceVersion } = await read(site, "entry-1");
--- a/packages/proof/src/lib/scenarios/processScenarios.ts
+++ b/packages/proof/src/lib/scenarios/processScenarios.ts
@@ -1,14 +1,14 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { type Scenario, type ScenarioContext } from "./Scenario.js";
 
-/** Milliseconds until the platform's live list tells of a host that died or left. */
+/** Milliseconds until the platform's live list shows that a host died or is leaving. */
 const liveListDelay = 3000;
 
 function pick({ random }: ScenarioContext, names: readonly string[]): string {
     return names[random.below(names.length)] ?? "";
 }
 
-/** Targets of one stage in the data centres that have one pipeline each. */
+/** Returns the targets of one stage in the data centres that have a single pipeline. */
 function near(stage: number): readonly string[] {
     return [`stage-${stage}-1`, `stage-${stage}-2`];
 }
@@ -121,10 +121,10 @@
         const { site, markFault } = context;
         const victims = [...[1, 2, 3].map(stage => pick(context, near(stage))), "records-1", "entry-2"];
         markFault();
-        const ends = victims.map(victim => site.terminate(victim));
+        const stops = victims.map(victim => site.terminate(victim));
         await pause(liveListDelay);
         await Promise.all(victims.map(victim => site.list(victim, "leaving")));
-        await Promise.all(ends);
+        await Promise.all(stops);
         await Promise.all(victims.map(victim => site.list(victim, undefined)));
     },
 };
--- a/packages/proof/src/lib/scenarios/rollout.ts
+++ b/packages/proof/src/lib/scenarios/rollout.ts
@@ -8,12 +8,18 @@
 const authorization = `Bearer ${operatorToken}`;
 const dataCentre = "dc3";
 const replicas = 2;
-/** Half of the layers fit into the memory of a target in two versions, so that no pipeline has to go first. */
+/**
+ * Bytes per layer. A target has memory for half of the layers in two versions, so that no pipeline has to be removed
+ * before the new version is loaded.
+ */
 const layerBytes = 6_600_000_000;
+/** Milliseconds. */
 const rolloutTimeout = 60_000;
-/** The part of the rate before the rollout that has to be completed while it runs. */
+/** The minimum rate of completed requests during the rollout, as a fraction of the rate before it. */
 const minRateShare = 0.9;
+/** Milliseconds. */
 const pollInterval = 100;
+/** Milliseconds of requests before the rollout starts and after it has ended. */
 const steadyTime = 10_000;
 
 const targetSchema = z.object({ resourceVersion: z.number(), spec: z.record(z.string(), z.unknown()) });
@@ -48,7 +54,7 @@
     await call(site, `model/${model}`, "PUT", spec, known?.resourceVersion);
 }
 
-/** Leaves the targets of a data centre to the placement. */
+/** Removes the fixed layers of the targets of the data centre, so that placement decides what they hold. */
 async function removePins(site: Site): Promise<void> {
     const targets = site.layout.daemons.filter(one => one.dataCentre === dataCentre && one.stage !== undefined);
     for (const { name } of targets) {
@@ -65,7 +71,7 @@
         }
         await pause(pollInterval);
     }
-    throw new Error("the rollout did not come to its end");
+    throw new Error(`placements did not reach the expected state within ${rolloutTimeout} ms`);
 }
 
 const countReady = (placements: readonly Placement[], version: string): number =>
@@ -74,15 +80,15 @@
 const isOnlyVersion = (version: string) => (placements: readonly Placement[]): boolean =>
     placements.length === replicas && countReady(placements, version) === replicas;
 
-/** A new version of a placed model takes over on real processes, under requests at a fixed rate. */
+/** Rolls out a new version of a placed model on real processes, under requests at a fixed rate. */
 export const rollout: Scenario = {
     name: "rollout",
     row: "none: a planned change",
     summary: "a model of two placed pipelines goes from v1 to v2 under 12 requests a second",
     async run({ site, clock, markFault, check }) {
-        // The competing holders of this site give orders of their own, which have no part in this.
-        const rivals = site.layout.holders.filter(holder => holder.dataCentre === dataCentre);
-        await Promise.all(rivals.map(({ name }) => site.kill(name)));
+        // The competing lease holders of the site would send orders of their own, which are no part of this scenario.
+        const competingHolders = site.layout.holders.filter(holder => holder.dataCentre === dataCentre);
+        await Promise.all(competingHolders.map(({ name }) => site.kill(name)));
         await setModel(site, "v1");
         await removePins(site);
         await until(site, isOnlyVersion("v1"));
@@ -95,25 +101,34 @@
         await until(site, placements => countReady(placements, "v2") > 0);
         const first = clock.now();
         await until(site, isOnlyVersion("v2"));
-        const alone = clock.now();
+        const completedAt = clock.now();
         await pause(steadyTime);
         const end = clock.now();
         await callers.finish();
         const failed = callers.answers.filter(({ version }) => version === undefined);
-        const late = callers.answers.filter(({ sentAt, version }) => sentAt > alone + 2000 && version !== "v2");
+        const late = callers.answers.filter(({ sentAt, version }) => sentAt > completedAt + 2000 && version !== "v2");
         check({
-            name: "every answer is whole and of exactly one version",
+            name: "every answer is complete and of exactly one version",
             holds: failed.length === 0 && callers.answers.length > 0,
             detail: `${callers.answers.length - failed.length} of ${callers.answers.length}; codes ${
                 failed.map(({ code }) => code).join(" ")
             }`,
         });
-        check({ name: "at the end v2 alone answers", holds: late.length === 0, detail: `${late.length} others` });
-        const spans = [[begun - steadyTime + 2000, begun], [begun, alone], [alone, end]] as const;
+        check({
+            name: "after the rollout only v2 answers",
+            holds: late.length === 0,
+            detail: `${late.length} other answers`,
+        });
+        const spans = [[begun - steadyTime + 2000, begun], [begun, completedAt], [
+            completedAt,
+            end,
+        ]] as const;
         const [before = [], during = [], after = []] = spans.map(([from, to]) => callers.completedBySecond(from, to));
-        const times = `first pipeline of v2 after ${seconds(first - begun)}, v2 alone after ${seconds(alone - begun)}`;
+        const times = `first pipeline of v2 after ${seconds(first - begun)}, only v2 after ${
+            seconds(completedAt - begun)
+        }`;
         check({
-            name: "as many requests a second are completed while the version changes:",
+            name: "the rate of completed requests is kept while the version changes:",
             holds: mean(during) >= minRateShare * mean(before),
             detail: `before ${describe(before)}; during ${describe(during)}; after ${describe(after)}; ${times}`,
         });
@@ -121,7 +136,7 @@
 };
 
 function describe(counts: readonly number[]): string {
-    return `mean ${mean(counts).toFixed(1)}, least ${Math.min(...counts)} in ${counts.length} s`;
+    return `mean ${mean(counts).toFixed(1)}, minimum ${Math.min(...counts)} in ${counts.length} s`;
 }
 
 function mean(counts: readonly number[]): number {
--- a/packages/proof/src/lib/scenarios/rolloutCallers.ts
+++ b/packages/proof/src/lib/scenarios/rolloutCallers.ts
@@ -3,14 +3,14 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { callEntry, createConnections } from "../callers/callEntry.js";
 
-/** The model of the rollout, apart from the one that the other callers use. @internal */
+/** The model of the rollout; a different one from that of the other callers. @internal */
 export const rolloutModel = { model: "rollout", layers: 12, versions: ["v1", "v2"] } as const;
 
-/** One request of the callers of a rollout. @internal */
+/** The outcome of one request of the callers of a rollout. @internal */
 export interface RolloutAnswer {
     readonly sentAt: number;
     readonly endedAt: number;
-    /** The version whose whole answer it is; undefined for none, or for more than one. */
+    /** The version whose complete answer was received; undefined if it matches none, or more than one. */
     readonly version: string | undefined;
     /** The result code of a failure. */
     readonly code: number | undefined;
@@ -18,10 +18,11 @@
 
 const maxTokens = 40;
 const requestsPerSecond = 12;
+/** Milliseconds between two requests. */
 const interval = 1000 / requestsPerSecond;
 
 /**
- * Open-loop callers of the model that is rolled out: requests leave at their rate, and none is sent again.
+ * Open-loop callers of the model that is rolled out: requests are sent at a fixed rate and not retried.
  *
  * @internal
  */
@@ -38,7 +39,7 @@
         this.sending = this.sendAtRate();
     }
 
-    /** Sends no more, and waits for what was sent. */
+    /** Stops sending and waits until all requests in flight have ended. */
     async finish(): Promise<void> {
         this.stopped = true;
         await this.sending;
@@ -46,7 +47,7 @@
         await this.connections.close();
     }
 
-    /** Requests that were completed in each whole second of a span of time. */
+    /** Counts the completed requests in each full second between two times. */
     completedBySecond(from: number, to: number): number[] {
         const counts = Array.from({ length: Math.floor((to - from) / 1000) }, () => 0);
         for (const { endedAt, version } of this.answers) {
@@ -78,8 +79,8 @@
             body: JSON.stringify({ model, prompt, max_tokens: maxTokens, stream: true }),
             streamed: true,
         });
-        const right = rolloutModel.versions.filter(version => text === expectedOf(version, prompt));
-        const version = outcome === "completed" && right.length === 1 ? right[0] : undefined;
+        const matching = rolloutModel.versions.filter(version => text === expectedOf(version, prompt));
+        const version = outcome === "completed" && matching.length === 1 ? matching[0] : undefined;
         this.answers.push({ sentAt, endedAt, version, code });
     }
 }
--- a/packages/proof/src/lib/scenarios/scenarios.ts
+++ b/packages/proof/src/lib/scenarios/scenarios.ts
@@ -16,7 +16,7 @@
     },
 };
 
-/** Every scenario, the one without faults first. @internal */
+/** All scenarios with a row in the failure table, preceded by a baseline without faults. @internal */
 export const scenarios: readonly Scenario[] = [
     baseline,
     ...processScenarios,
@@ -26,7 +26,7 @@
     chaos,
 ];
 
-/** Runs of planned changes, which belong to no failure and are run by their names alone. */
+/** Scenarios of planned changes: they have no row in the failure table and run only when selected by name. */
 const plannedChanges: readonly Scenario[] = [rollout];
 
 /** @internal */
--- a/packages/proof/src/lib/scenarios/storeScenarios.ts
+++ b/packages/proof/src/lib/scenarios/storeScenarios.ts
@@ -2,6 +2,7 @@
 import { type RequestResult } from "../callers/Callers.js";
 import { type Scenario, type ScenarioContext } from "./Scenario.js";
 
+/** All times are in milliseconds. */
 const outage = 20_000;
 const claimsTimeout = 60_000;
 const claimsPollInterval = 50;
@@ -14,17 +15,17 @@
 const copyOutage = 500;
 const copyPause = 3000;
 
-/** Waits until calls that are not idempotent complete again, and some seconds more. */
-async function waitForClaims({ clock, results: ends, check }: ScenarioContext): Promise<void> {
+/** Waits until a non-idempotent call sent from now on completes, and then for the settle time. */
+async function waitForClaims({ clock, results, check }: ScenarioContext): Promise<void> {
     const from = clock.now();
-    const isNew = ({ kind, outcome, attempts: tries }: RequestResult) =>
-        kind === "publish" && outcome === "completed" && (tries[0]?.sentAt ?? from) > from;
-    while (!ends().some(isNew) && clock.now() < from + claimsTimeout) {
+    const isNew = ({ kind, outcome, attempts }: RequestResult) =>
+        kind === "publish" && outcome === "completed" && (attempts[0]?.sentAt ?? from) > from;
+    while (!results().some(isNew) && clock.now() < from + claimsTimeout) {
         await pause(claimsPollInterval);
     }
-    const back = ends().some(isNew);
+    const isGranted = results().some(isNew);
     const waited = Math.round(clock.now() - from);
-    check({ name: "claims are granted again after the outage", holds: back, detail: `first seen after ${waited} ms` });
+    check({ name: "claims are granted again after the outage", holds: isGranted, detail: `waited ${waited} ms` });
     await pause(settleTime);
 }
 
@@ -110,5 +111,5 @@
     },
 };
 
-/** Scenarios with faults of the table service. @internal */
+/** Scenarios with table service faults. @internal */
 export const storeScenarios: readonly Scenario[] = [storeDown, storeSlow, answersLost, storeCopy, twoAtOnce];
--- a/packages/proof/src/lib/site/ServiceStandIn.ts
+++ b/packages/proof/src/lib/site/ServiceStandIn.ts
@@ -6,11 +6,12 @@
 /** The name of the plain service of the site. @internal */
 export const serviceName = "records";
 
+/** Milliseconds that each call takes. */
 const workTime = 30;
 
 /**
- * A plain service: each POST is a run of its own, which it records as its own witness. The answer depends only on the
- * call, so that a caller can tell whether it got the answer to its own.
+ * A plain HTTP service without idempotency: it runs each POST it receives and records the run in a history of its own,
+ * independently of the daemons. The answer depends only on the call, so that callers can verify it.
  *
  * @internal
  */
@@ -57,7 +58,7 @@
     }
 }
 
-/** What the service answers to a call. @internal */
+/** Returns the answer of the service to a call. @internal */
 export function serviceAnswer(method: string, path: string, body: string): string {
     return createHash("sha256").update(`${method} ${path} ${body}`).digest("hex");
 }
--- a/packages/proof/src/lib/site/Site.ts
+++ b/packages/proof/src/lib/site/Site.ts
@@ -19,22 +19,24 @@
 
 const distFolder = dirname(dirname(dirname(fileURLToPath(import.meta.url))));
 const cliScript = join(dirname(createRequire(import.meta.url).resolve("waxwingspar")), "bin.js");
+/** Milliseconds. */
 const stopLimit = 60_000;
+/** Milliseconds. */
 const holderPollInterval = 50;
 const noFault: LinkFault = {};
 const leaseAnswerSchema = z.object({ value: z.object({ value: z.object({ holder: z.string() }) }) });
 
 /**
- * A site of real processes on loopback: platform, engines, plain services, agents, entries, and a relay in front of
- * every one that takes links.
+ * A site of real processes on loopback: platform, engines, plain services, agents and entries, with a relay in front of
+ * the platform and of every daemon.
  *
  * @internal
  */
 export class Site {
     readonly historyFiles: string[] = [];
-    /** Daemons that were asked to stop and ended with another code than 0, with how they ended. */
+    /** Daemons that did not exit with code 0 in time after SIGTERM, each with its exit code or signal. */
     readonly failedStops: string[] = [];
-    /** Decides the faults of links; undefined means none. */
+    /** Decides the fault of each link; undefined means none. */
     linkFault: FaultPolicy = () => undefined;
     private readonly processes = new Map<string, SiteProcess>();
     private readonly relays: Relay[] = [];
@@ -56,19 +58,19 @@
         await Promise.all(daemons.map(({ name }) => this.startDaemon(name)));
     }
 
-    /** Stops all that runs: entries first, then agents, gracefully; then the stand-ins. Ends every process. */
+    /** Stops gracefully the entries, then the agents, then all other processes; kills any that remain. */
     async stop(): Promise<void> {
         for (const role of ["entry", "agent"]) {
             const names = this.layout.daemons.filter(daemon => daemon.role === role).map(({ name }) => name);
             await Promise.all(names.filter(name => this.running(name)).map(name => this.terminate(name)));
         }
-        const rest = [...this.processes.values()].filter(({ running }) => running);
-        rest.forEach(process => process.signal("SIGTERM"));
-        await Promise.all(rest.map(process => process.waitForEnd(stopLimit)));
+        const remaining = [...this.processes.values()].filter(({ running }) => running);
+        remaining.forEach(process => process.signal("SIGTERM"));
+        await Promise.all(remaining.map(process => process.waitForEnd(stopLimit)));
         await this.destroy();
     }
 
-    /** Ends every process at once. */
+    /** Kills every process. */
     async destroy(): Promise<void> {
         await Promise.all([...this.processes.values()].map(process => process.kill()));
         this.relays.forEach(relay => relay.close());
@@ -104,23 +106,23 @@
         await this.launch(name, [cliScript, "engine", settings], `http://${daemon.host}:${daemon.enginePort}/`);
     }
 
-    /** Kills a process without warning. */
+    /** Kills a process with SIGKILL. */
     async kill(name: string): Promise<void> {
         await this.processes.get(name)?.kill();
     }
 
-    /** Kills an agent together with its engine, as when their host dies. */
+    /** Kills an agent together with its engine, as a failure of their host does. */
     async killHost(name: string): Promise<void> {
         await Promise.all([this.kill(name), this.kill(`engine-${name}`)]);
     }
 
-    /** Stops a daemon gracefully and waits for its end. */
+    /** Stops a daemon gracefully and waits until it has exited. */
     async terminate(name: string): Promise<void> {
         const process = this.processes.get(name);
         process?.signal("SIGTERM");
-        const inTime = await process?.waitForEnd(stopLimit);
-        if (process !== undefined && (inTime !== true || process.end !== "0")) {
-            this.failedStops.push(`${name}: ${process.end ?? "did not end"}`);
+        const hasEnded = await process?.waitForEnd(stopLimit);
+        if (process !== undefined && (hasEnded !== true || process.end !== "0")) {
+            this.failedStops.push(`${name}: ${process.end ?? "still running"}`);
         }
     }
 
@@ -132,13 +134,13 @@
         this.processes.get(name)?.signal("SIGCONT");
     }
 
-    /** Where the entries take callers. */
+    /** Returns the HTTP origins of the entries. */
     origins(): string[] {
         const entries = this.layout.daemons.filter(({ role }) => role === "entry");
         return entries.map(({ host, callersPort }) => `http://${host}:${callersPort}`);
     }
 
-    /** The revision in force on the first daemon. */
+    /** Reads the revision in force on the first daemon. */
     async revision(): Promise<number> {
         const [first] = this.layout.daemons;
         const response = await fetch(`http://${first?.host}:${first?.operatorsPort}/readyz`);
@@ -146,14 +148,14 @@
         return revision;
     }
 
-    /** Sets what the platform's live list says of a daemon; undefined removes it. */
+    /** Sets the state of a daemon in the platform's live list; undefined removes the daemon. */
     async list(name: string, state: "live" | "leaving" | undefined): Promise<void> {
         await (state === undefined
             ? this.callAdmin("/admin/hosts/remove", { process: name })
             : this.callAdmin("/admin/hosts/set", liveHost(this.daemon(name), state)));
     }
 
-    /** Orders of the careless holders that targets refused because of their fence. */
+    /** Counts the orders that targets rejected because of a stale fencing token, from the logs of the holders. */
     async countStaleOrders(): Promise<number> {
         const logs = await Promise.all(
             this.layout.holders.map(({ name }) => readFile(join(this.folder, `${name}.log`), "utf8")),
@@ -161,7 +163,7 @@
         return logs.join("").split(staleFenceLine).length - 1;
     }
 
-    /** The daemon that took the duty of orders of a data centre last. */
+    /** Returns the process that last acquired the lease of the orders duty of a data centre. */
     async findDutyHolder(dataCentre: string): Promise<string | undefined> {
         const answer = await this.callAdmin("/table/get", { key: `lease/orders/${dataCentre}` });
         return leaseAnswerSchema.safeParse(answer).data?.value.value.holder;
@@ -172,7 +174,7 @@
         await this.callAdmin("/admin/faults", { service: "table", faults });
     }
 
-    /** Saves a copy of the table service, or lets it come back from the last one. */
+    /** Saves a copy of the table service, or restores the last one. */
     async manageStoreCopy(action: "save" | "use"): Promise<void> {
         await this.callAdmin("/admin/table/copy", { action });
     }
@@ -201,14 +203,14 @@
         await this.launch(name, [join(distFolder, "holder.js"), settings]);
     }
 
-    /** The careless holders take their duties before any daemon runs that could. */
+    /** Waits until the holders have acquired the duties, before any daemon runs that could acquire them. */
     private async waitForHolders(): Promise<void> {
         const centres = new Set(this.layout.holders.map(({ dataCentre }) => dataCentre));
         for (const centre of centres) {
             const deadline = performance.now() + stopLimit;
             while (await this.findDutyHolder(centre) === undefined) {
                 if (performance.now() > deadline) {
-                    throw new Error(`nobody took the duty of ${centre}`);
+                    throw new Error(`no holder acquired the orders duty of ${centre} within ${stopLimit} ms`);
                 }
                 await pause(holderPollInterval);
             }
--- a/packages/proof/src/lib/site/SiteProcess.ts
+++ b/packages/proof/src/lib/site/SiteProcess.ts
@@ -5,15 +5,17 @@
 /** @internal */
 export interface SiteProcessOptions {
     readonly name: string;
-    /** The script and its arguments, for Node. */
+    /** The arguments of Node: the script and its arguments. */
     readonly command: readonly string[];
-    /** The file that takes standard output and standard error. */
+    /** The file to which standard output and standard error are appended. */
     readonly log: string;
-    /** Answers below 500 once the process does its work; without it the process counts as ready at once. */
+    /** Returns a status below 500 once the process is ready; if undefined, the process counts as ready immediately. */
     readonly readyUrl?: string;
 }
 
+/** Milliseconds. */
 const readyPollInterval = 50;
+/** Milliseconds. */
 const readyTimeout = 60_000;
 const memoryLimit = "--max-old-space-size=256";
 
@@ -24,7 +26,7 @@
  */
 export class SiteProcess {
     readonly name: string;
-    /** The signal or exit code that ended it; undefined while it runs. */
+    /** The signal or exit code with which the process ended; undefined while it runs. */
     end: string | undefined;
     private readonly child: ChildProcess;
     private readonly ended: Promise<void>;
@@ -50,7 +52,7 @@
         return this.end === undefined;
     }
 
-    /** Waits until it is ready. @throws Error if it ends before, or takes a minute. */
+    /** Waits until the process is ready. @throws Error if it exits first or is not ready within a minute. */
     async ready(): Promise<void> {
         const deadline = performance.now() + readyTimeout;
         const { readyUrl } = this.options;
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Waits until it has ended; false if the limit in milliseconds passes first. */
+    /** Waits until the process has ended; returns false if the limit in milliseconds expires first. */
     async waitForEnd(limit: number): Promise<boolean> {
         const timer = new AbortController();
         await Promise.race([this.ended, pause(limit, undefined, { signal: timer.signal }).catch(() => undefined)]);
--- a/packages/proof/src/lib/site/layout.ts
+++ b/packages/proof/src/lib/site/layout.ts
@@ -2,25 +2,26 @@
 import { serviceName } from "./ServiceStandIn.js";
 import { organisation, siteModel, stages } from "./siteModel.js";
 
-/** A daemon of the site and where it listens. @internal */
+/** A daemon of the site and its addresses. @internal */
 export interface PlannedDaemon {
     readonly name: string;
     readonly role: "entry" | "agent";
     readonly dataCentre: string;
     readonly region: string;
-    /** A loopback address of its own; every port below is on it. */
+    /** The loopback address of this daemon alone, to which all ports below belong. */
     readonly host: string;
-    /** Where it listens for links. */
+    /** The port on which the daemon listens for links. */
     readonly linkPort: number;
-    /** Where others find it: the relay in front of it. */
+    /** The port of the relay in front of the daemon, to which other processes connect. */
     readonly relayPort: number;
     readonly operatorsPort: number;
     /** Entries only. */
     readonly callersPort: number;
-    /** Agents only: the port of the engine, and the stage it holds; undefined beside a plain service. */
+    /** The port of the engine; agents only. */
     readonly enginePort: number;
+    /** The index of the stage that the engine holds; undefined for entries and for agents of a plain service. */
     readonly stage?: number;
-    /** Agents beside a plain service only. */
+    /** The port of the plain service; agents of a plain service only. */
     readonly servicePort: number;
 }
 
@@ -36,15 +37,15 @@
     readonly holders: readonly PlannedHolder[];
     readonly daemons: readonly PlannedDaemon[];
     readonly platformPort: number;
-    /** Where the daemons of each region reach the platform: a relay for each. */
+    /** The port of the relay through which the daemons of each region connect to the platform, by region. */
     readonly platformPorts: Readonly<Record<string, number>>;
 }
 
-/** How large a site is. @internal */
+/** The size of a site. @internal */
 export interface LayoutOptions {
-    /** Data centre and region of each entry; each has that many pipelines. */
+    /** The data centres, each with one entry and the given number of pipelines. */
     readonly centres: readonly { readonly name: string; readonly region: string; readonly pipelines: number; }[];
-    /** Data centres with a target of the plain service. */
+    /** The data centres that have a target of the plain service. */
     readonly serviceCentres: readonly string[];
 }
 
@@ -69,10 +70,10 @@
 
 const portsPerDaemon = 6;
 
-/** Runs at the same time keep to networks of their own where they can. */
+/** Derived from the process id, so that concurrent runs rarely share a network. */
 const network = `127.0.${1 + process.pid % 250}`;
 
-/** The platform's stand-ins listen on no other address. @internal */
+/** The address on which the platform's stand-ins listen. @internal */
 export const platformHost = "127.0.0.1";
 
 /** Plans a site on free ports. @internal */
@@ -114,7 +115,7 @@
     return { daemons, holders, platformPort, platformPorts };
 }
 
-/** The resources of the site, as an operator would write them. @internal */
+/** Returns the resources of the site in the form in which operators write them. @internal */
 export function resourcesOf({ daemons }: Layout): object[] {
     const { model, version, layers } = siteModel;
     const targets = daemons.filter(({ role }) => role === "agent");
--- a/packages/proof/src/lib/site/ports.ts
+++ b/packages/proof/src/lib/site/ports.ts
@@ -1,9 +1,8 @@
 import { createServer, type Server } from "node:net";
 
 /**
- * Finds free ports on a loopback address. All are held at the same time, so that no port is found twice. Outgoing
- * connections come from 127.0.0.1, so a port found on another loopback address stays free, also while its process is
- * restarted.
+ * Finds free ports on a loopback address. All ports are bound at the same time, so that none is returned twice. Outgoing
+ * connections use 127.0.0.1, so a port found on another loopback address stays free, even while its process restarts.
  *
  * @internal
  */
--- a/packages/proof/src/lib/site/runPlatform.ts
+++ b/packages/proof/src/lib/site/runPlatform.ts
@@ -10,7 +10,7 @@
 } from "@waxwingspar/stores";
 import { seededRandom, SystemClock, uniqueId } from "@waxwingspar/utils";
 
-/** The settings of the platform's process. @internal */
+/** The settings file of the platform's process. @internal */
 export interface PlatformSettings {
     readonly port: number;
     readonly hosts: readonly LiveHost[];
@@ -18,14 +18,17 @@
     readonly history: string;
 }
 
+/** Milliseconds by which the live list lags. */
 const listLag = 2000;
 const layerBytes = 1_000_000_000;
+/** Bytes per second. */
 const weightRate = 10_000_000_000;
 
 /**
- * Serves the platform's stand-ins, and records each write that takes effect, as the store's own witness.
+ * Serves the platform's stand-ins and records each write that takes effect in the table store, independently of the
+ * processes that write.
  *
- * @returns Closes them.
+ * @returns A function that closes the server and the history.
  * @internal
  */
 export async function runPlatform(settings: PlatformSettings): Promise<() => Promise<void>> {
--- a/packages/proof/src/lib/site/settingsFiles.ts
+++ b/packages/proof/src/lib/site/settingsFiles.ts
@@ -4,10 +4,10 @@
 import { serviceName } from "./ServiceStandIn.js";
 import { organisation, siteModel, stages } from "./siteModel.js";
 
-/** What operators of the site show. @internal */
+/** The bearer token of the operators of the site. @internal */
 export const operatorToken = "operator-of-the-proof";
 
-/** The settings of a daemon. @param file - Its history file. @internal */
+/** Returns the settings of a daemon. @param file - The history file of the daemon. @internal */
 export function daemonSettings(daemon: PlannedDaemon, layout: Layout, file: string): object {
     const { name, role, host, dataCentre, region } = daemon;
     const common = {
@@ -45,7 +45,7 @@
         : {};
 }
 
-/** The settings of the fake engine beside an agent. @internal */
+/** Returns the settings of the fake engine of an agent. @internal */
 export function engineSettings({ host, stage, enginePort }: PlannedDaemon): object {
     const { model, version } = siteModel;
     return {
@@ -55,7 +55,7 @@
     };
 }
 
-/** The settings of the platform's stand-ins. @internal */
+/** Returns the settings of the platform's stand-ins. @internal */
 export function platformSettings(layout: Layout, folder: string): object {
     return {
         port: layout.platformPort,
@@ -65,13 +65,13 @@
     };
 }
 
-/** A row of the platform's live list. @internal */
+/** Returns an item of the platform's live list. @internal */
 export function liveHost(daemon: PlannedDaemon, state: "live" | "leaving"): object {
     const { name, role, host, relayPort, dataCentre, region } = daemon;
     return { process: name, role, host, port: relayPort, dataCentre, region, state };
 }
 
-/** The settings of a holder of a control duty. @internal */
+/** Returns the settings of a process that competes for a control duty. @internal */
 export function holderSettings({ name, dataCentre, region }: PlannedHolder, layout: Layout, folder: string): object {
     const targets = layout.daemons.filter(daemon => daemon.role === "agent" && daemon.dataCentre === dataCentre);
     return {
@@ -84,7 +84,7 @@
     };
 }
 
-/** The settings of the stand-in of the plain service beside an agent. @internal */
+/** Returns the settings of the plain service of an agent. @internal */
 export function serviceSettings({ name, host, servicePort }: PlannedDaemon, folder: string): object {
     return { name: `service-${name}`, host, port: servicePort, history: join(folder, `service-${name}.jsonl`) };
 }
