--- a/packages/proof/src/bin.ts
+++ b/packages/proof/src/bin.ts
@@ -20,11 +20,24 @@
 
 const { scenario: name, seed, seconds, keep, plants } = new Command("proof")
     .description("Runs real processes under faults and checks their histories.")
-    .option("--scenario <name>", `some of ${scenarios.map(({ name }) => name).join(",")}, or all`, "all")
-    .option("--seed <number>", "chooses victims, arrivals and prompts", Number, 1)
-    .option("--seconds <number>", "seconds for which callers send after the first fault", Number, defaultSeconds)
-    .option("--keep", "keep settings, logs and histories", false)
-    .option("--plants", "plant a fault of each rule into the history; each must be caught", false)
+    .option(
+        "--scenario <name>",
+        `comma-separated names out of ${scenarios.map(({ name }) => name).join(",")}, or all`,
+        "all",
+    )
+    .option("--seed <number>", "seed of the victims, arrival times and prompts", Number, 1)
+    .option(
+        "--seconds <number>",
+        "seconds for which callers send requests after the warm-up, at least",
+        Number,
+        defaultSeconds,
+    )
+    .option("--keep", "also keep settings, logs and histories of scenarios that hold", false)
+    .option(
+        "--plants",
+        "check copies of the history with planted violations of each rule; each must be detected",
+        false,
+    )
     .parse()
     .opts<Options>();
 
@@ -45,7 +58,7 @@
     }
     catch (error) {
         broken++;
-        process.stdout.write(`  THE RUN BROKE OFF: ${error instanceof Error ? error.message : String(error)}\n`);
+        process.stdout.write(`  THE RUN ABORTED: ${error instanceof Error ? error.message : String(error)}\n`);
     }
     process.stdout.write(`  files: ${folder}\n`);
 }
@@ -53,6 +66,6 @@
 process.exitCode = broken === 0 && results.every(holds) ? 0 : 1;
 
 function unknown(part: string): never {
-    process.stderr.write(`no scenario ${part}\n`);
+    process.stderr.write(`unknown scenario: ${part}\n`);
     process.exit(2);
 }
--- a/packages/proof/src/index.ts
+++ b/packages/proof/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Concurrent runs of real processes under faults, with checked histories.
+ * Scenarios that run real processes under injected faults and check their recorded histories.
  *
  * @packageDocumentation
  */
--- a/packages/proof/src/lib/failuresPage.test.ts
+++ b/packages/proof/src/lib/failuresPage.test.ts
@@ -8,12 +8,12 @@
 const root = join(dirname(fileURLToPath(import.meta.url)), "../../../..");
 const page = readFileSync(join(root, "docs/FAILURES.md"), "utf8");
 
-/** Every test that the page names, as `package: name`. */
+/** Returns every test that the page names as `package: name`. */
 function namedTests(): { readonly folder: string; readonly name: string; }[] {
     return [...page.matchAll(/`([a-z]+): ([^`]+)`/g)].map(([, folder = "", name = ""]) => ({ folder, name }));
 }
 
-/** The text of every test file of a package. */
+/** Returns the concatenated text of all test files of a package. */
 function testFiles(folder: string): string {
     const source = join(root, "packages", folder, "src");
     return readdirSync(source, { withFileTypes: true, recursive: true })
--- a/packages/proof/src/lib/report/Recovery.ts
+++ b/packages/proof/src/lib/report/Recovery.ts
@@ -1,38 +1,41 @@
 import { type CallResult } from "../callers/callEntry.js";
 import { type RequestResult } from "../callers/Callers.js";
 
-/** How the streams that ran at the time of a fault, and the goodput, came through it. Times in milliseconds. @internal */
+/** The effect of a fault on the streams in flight at its time and on the goodput. Times in milliseconds. @internal */
 export interface Recovery {
-    /** Streams in progress at the fault that went on to their end, and those that broke. */
+    /** Streams in flight at the fault that completed, and those that did not. */
     readonly survived: number;
     readonly broken: number;
-    /** The longest time between two pieces after the fault, of each stream that survived. */
+    /** Median and maximum, over the streams that completed, of the longest time between two pieces after the fault. */
     readonly medianGap: number | undefined;
     readonly longestGap: number | undefined;
     /**
-     * From the fault until callers get tokens again at 75 % of the rate before it, over 2 s; 0 if the rate never fell
-     * below, undefined if that did not come.
+     * Time from the fault until the rate of tokens over 2 s reaches 75 % of the rate before the fault again; 0 if it
+     * never fell below, undefined if it did not recover.
      */
     readonly goodputRecoveryTime: number | undefined;
-    /** The lowest rate of tokens over 2 s after the fault, as a share of the rate before it. */
+    /** The lowest rate of tokens over 2 s after the fault, as a fraction of the rate before it. */
     readonly lowestRate: number | undefined;
 }
 
+/** Milliseconds between the starts of consecutive windows. */
 const windowStep = 100;
+/** Milliseconds over which a rate is measured after the fault. */
 const windowLength = 2000;
+/** Milliseconds before the fault over which the baseline rate is measured. */
 const baselineLength = 3000;
 const recoveredShare = 0.75;
 
 /**
  * Measures the recovery from a fault.
  *
- * @param ends - Every request of the run.
- * @param fault - When the fault began.
- * @param end - When the callers stopped sending.
+ * @param results - Every request of the run.
+ * @param fault - The time at which the fault began.
+ * @param end - The time at which the callers stopped sending.
  * @internal
  */
-export function measureRecovery(ends: readonly RequestResult[], fault: number, end: number): Recovery {
-    const streams = ends.flatMap(({ attempts: tries }) => tries).filter(({ pieceTimes }) => pieceTimes.length > 0);
+export function measureRecovery(results: readonly RequestResult[], fault: number, end: number): Recovery {
+    const streams = results.flatMap(({ attempts }) => attempts).filter(({ pieceTimes }) => pieceTimes.length > 0);
     const spanning = streams.filter(({ pieceTimes, endedAt }) => (pieceTimes[0] ?? fault) < fault && endedAt > fault);
     const survivors = spanning.filter(({ outcome }) => outcome === "completed");
     const gaps = survivors.map(stream => longestGapAfter(stream, fault)).sort((a, b) => a - b);
@@ -56,7 +59,7 @@
     }, 0);
 }
 
-/** The rate of tokens in windows that begin every step after the fault, as a share of the rate before it. */
+/** Measures the rate of tokens in overlapping windows after the fault, as a fraction of the rate before it. */
 function measureRates(times: readonly number[], fault: number, end: number): number[] {
     const before = times.filter(time => time >= fault - baselineLength && time < fault).length / baselineLength;
     const rates: number[] = [];
@@ -67,7 +70,7 @@
     return rates;
 }
 
-/** Finds when the first good window begins after the first bad one. */
+/** Finds the time from the fault to the first window at the recovered rate that follows a window below it. */
 function findRecoveryTime(rates: readonly number[]): number | undefined {
     const lost = rates.findIndex(rate => rate < recoveredShare);
     if (lost < 0) {
--- a/packages/proof/src/lib/report/checkPlantedViolations.ts
+++ b/packages/proof/src/lib/report/checkPlantedViolations.ts
@@ -3,8 +3,8 @@
 import { type ScenarioCheck } from "./ScenarioResult.js";
 
 /**
- * Plants one fault after the other into the history of a run and checks each changed history, to show that the check of
- * this run would have caught it.
+ * Checks copies of the history of a run, each with one planted violation, to verify that the checker would have detected
+ * such a violation in this run.
  *
  * @internal
  */
@@ -16,11 +16,11 @@
     for (const file of files) {
         await readHistory(file, line => void lines.push(line));
     }
-    return plantedViolations.map(({ rule, description: what, apply }) => {
+    return plantedViolations.map(({ rule, description, apply }) => {
         const changed = apply(lines);
-        const name = `planted fault of rule ${rule} is caught: ${what}`;
+        const name = `planted violation of rule ${rule} is detected: ${description}`;
         if (changed === undefined) {
-            return { name, holds: false, detail: "the history has no place for it" };
+            return { name, holds: false, detail: "the history has no line to plant it in" };
         }
         const { violated } = checkHistory(changed, options).rules[rule];
         return { name, holds: violated > 0, detail: `${violated} violations of the rule` };
--- a/packages/proof/src/lib/report/formatResult.ts
+++ b/packages/proof/src/lib/report/formatResult.ts
@@ -22,12 +22,12 @@
     "holds",
 ];
 
-/** The head of the table of results, as Markdown. @internal */
+/** Formats the header of the result table as Markdown. @internal */
 export function tableHead(): string {
     return `| ${columns.join(" | ")} |\n|${columns.map(() => "---").join("|")}|`;
 }
 
-/** One row of the table of results, as Markdown. @internal */
+/** Formats one row of the result table as Markdown. @internal */
 export function tableRow(result: ScenarioResult): string {
     const { scenario, seed, outcomes, repeated, history, recovery } = result;
     const counts = Object.values(outcomes);
@@ -57,13 +57,13 @@
     return `| ${cells.join(" | ")} |`;
 }
 
-/** What each rule and check decided, for people. @internal */
+/** Formats the counts, violations and checks of a result as readable text. @internal */
 export function formatDetails(result: ScenarioResult): string {
     const { history, outcomes, checks } = result;
     const kinds = Object.entries(outcomes).map(([kind, { completed, notRun, unknown }]) =>
         `  ${kind}: ${completed} completed, ${notRun} not run, ${unknown} unknown`
     );
-    const failed = Object.entries(result.codes).map(([name, count]) => `  failed tries: ${name}: ${count}`);
+    const failed = Object.entries(result.codes).map(([name, count]) => `  failed attempts: ${name}: ${count}`);
     const rules = historyRules.map(rule => {
         const { passed, violated, undecided } = history.rules[rule];
         return `  ${rule}: ${passed} passed, ${violated} violated, ${undecided} undecided`;
@@ -76,7 +76,7 @@
     const checked = checks.map(({ name, holds, detail }) => `  ${holds ? "ok" : "FAILED"} ${name} ${detail}`);
     const { "order.issued": issued = 0, "order.applied": applied = 0 } = history.events;
     const size = `  ${history.lines} lines, ${history.incarnations} incarnations, ${history.tokens} tokens, `
-        + `${issued} orders sent, ${result.staleOrders} of them refused for an old fence, ${applied} carried out`;
+        + `${issued} orders sent, ${result.staleOrders} of them rejected for a stale fencing token, ${applied} carried out`;
     return [size, ...kinds, ...failed, ...rules, ...violations, ...checked].join("\n");
 }
 
--- a/packages/proof/src/lib/report/longestActivation.ts
+++ b/packages/proof/src/lib/report/longestActivation.ts
@@ -1,8 +1,8 @@
 import { readHistory } from "@waxwingspar/history";
 
 /**
- * The longest time from the acceptance of a revision to its force, over all that were accepted during the run and all
- * daemons that put them in force, in milliseconds; undefined if none was accepted.
+ * Returns the longest time in milliseconds from the acceptance of a revision until a daemon applied it, over all
+ * revisions accepted during the run and all daemons; undefined if none was accepted.
  *
  * @internal
  */
--- a/packages/proof/src/lib/report/plantedViolations.ts
+++ b/packages/proof/src/lib/report/plantedViolations.ts
@@ -1,10 +1,10 @@
 import { type HistoryLine, type HistoryRule } from "@waxwingspar/history";
 
-/** A change of a history after which one rule must be broken. @internal */
+/** A change to a history that must make one rule report a violation. @internal */
 export interface PlantedViolation {
     readonly rule: HistoryRule;
     readonly description: string;
-    /** The changed history; undefined if this history has no place for the change. */
+    /** Returns the changed history; undefined if it has no line to which the change applies. */
     readonly apply: (lines: readonly HistoryLine[]) => HistoryLine[] | undefined;
 }
 
@@ -16,17 +16,17 @@
     return line.body.event === event;
 }
 
-/** Finds the line in the middle of all lines of an event that fit. */
+/** Finds the middle one of all matching lines of an event. */
 function findMiddle<E extends Body["event"]>(
     lines: readonly HistoryLine[],
     event: E,
-    fits: (body: EventOf<E>) => boolean = () => true,
+    matches: (body: EventOf<E>) => boolean = () => true,
 ): LineOf<E> | undefined {
-    const found = lines.filter((line): line is LineOf<E> => isLine(line, event) && fits(line.body));
+    const found = lines.filter((line): line is LineOf<E> => isLine(line, event) && matches(line.body));
     return found[found.length >> 1];
 }
 
-/** Numbers the lines of each incarnation anew, so that only the planted fault shows. */
+/** Renumbers the lines of each incarnation, so that only the planted violation is detected. */
 function renumber(lines: readonly HistoryLine[]): HistoryLine[] {
     const next = new Map<string, number>();
     return lines.map(line => {
@@ -36,7 +36,7 @@
     });
 }
 
-/** Puts other lines in the place of one; its incarnation is numbered anew. */
+/** Replaces one line by others and renumbers the lines. */
 function replaceLine(
     lines: readonly HistoryLine[],
     old: HistoryLine | undefined,
@@ -57,7 +57,7 @@
     return new Set(lines.flatMap(line => isLine(line, "tokens.sent") ? [line.body.request] : []));
 }
 
-/** Copies the last work that a target accepted before it began to leave to a time behind its bound. */
+/** Copies a work.accepted line of a target that leaves to a time after the bound of its leaving. */
 function acceptWorkAfterBound(lines: readonly HistoryLine[]): HistoryLine[] | undefined {
     const leaving = lines.filter(line => isLine(line, "target.leaving"))
         .find(({ body }) => lines.some(line => isLine(line, "work.accepted") && line.body.target === body.target));
@@ -69,11 +69,11 @@
     return replaceLine(lines, leaving, line => [line, late]);
 }
 
-/** One planted fault for each rule, made in the history of a real run. @internal */
+/** Violations of every rule that are planted into the history of a real run. @internal */
 export const plantedViolations: readonly PlantedViolation[] = [
     {
         rule: "recording",
-        description: "a line of an agent is dropped",
+        description: "one line of an agent is dropped",
         apply(lines) {
             const dropped = findMiddle(lines, "layers.run");
             return dropped === undefined ? undefined : lines.filter(line => line !== dropped);
@@ -84,14 +84,14 @@
         description: "one run of layers of a delivered answer is dropped",
         apply(lines) {
             const delivered = findDeliveredRequests(lines);
-            const fits = ({ request, position, count }: EventOf<"layers.run">) =>
+            const matches = ({ request, position, count }: EventOf<"layers.run">) =>
                 delivered.has(request) && position > 0 && count === 1;
-            return replaceLine(lines, findMiddle(lines, "layers.run", fits), () => []);
+            return replaceLine(lines, findMiddle(lines, "layers.run", matches), () => []);
         },
     },
     {
         rule: "layers",
-        description: "one run of layers happens twice",
+        description: "one run of layers is repeated",
         apply: lines => replaceLine(lines, findMiddle(lines, "layers.run"), line => [line, line]),
     },
     {
@@ -101,13 +101,13 @@
     },
     {
         rule: "answers",
-        description: "a caller receives another text",
+        description: "a caller receives a different text",
         apply: lines =>
             changeLine(lines, findMiddle(lines, "caller.ended", end => end.outcome === "completed"), { digest: "0" }),
     },
     {
         rule: "not-run",
-        description: "a request that ran is called not run",
+        description: "a request that ran is reported as not run",
         apply(lines) {
             const ran = new Set(lines.flatMap(line => isLine(line, "service.run") ? [line.body.request] : []));
             return changeLine(lines, findMiddle(lines, "request.ended", end => ran.has(end.request)), {
@@ -117,7 +117,7 @@
     },
     {
         rule: "at-most-once",
-        description: "the service acts twice under one key",
+        description: "the service runs twice under one idempotency key",
         apply: lines =>
             replaceLine(
                 lines,
@@ -132,17 +132,17 @@
     },
     {
         rule: "stops",
-        description: "a planned stop cuts a request off",
+        description: "a planned stop interrupts a request",
         apply: lines => changeLine(lines, findMiddle(lines, "process.stopped"), { interrupted: 1 }),
     },
     {
         rule: "configuration",
-        description: "one process has another configuration under the same revision",
+        description: "one process has a different configuration under the same revision",
         apply: lines => changeLine(lines, findMiddle(lines, "config.applied"), { digest: "0" }),
     },
     {
         rule: "orders",
-        description: "a target carries out an order with an older fence",
+        description: "a target applies an order with an older fencing token",
         apply: lines =>
             replaceLine(lines, findMiddle(lines, "order.applied"), line => [
                 line,
--- a/packages/proof/src/lib/runScenario.test.ts
+++ b/packages/proof/src/lib/runScenario.test.ts
@@ -12,7 +12,7 @@
 
 const options = { timeout: 240_000 };
 
-async function run(t: TestContext, scenario: Scenario, plants = false): Promise<ScenarioResult> {
+async function run(t: TestContext, scenario: Scenario, plantsViolations = false): Promise<ScenarioResult> {
     const folder = await mkdtemp(join(tmpdir(), "waxwingspar-test-"));
     t.after(() => rm(folder, { recursive: true }));
     const result = await runScenario({
@@ -23,7 +23,7 @@
         layout: smallSite,
         modelRate: 4,
         serviceRate: 6,
-        plantsViolations: plants,
+        plantsViolations,
     });
     t.diagnostic(formatDetails(result));
     return result;
@@ -33,7 +33,7 @@
     return Object.values(result.outcomes).reduce((all, count) => all + pick(count), 0);
 }
 
-test("processes that leave gracefully cut nothing off, and the check catches planted faults", options, async t => {
+test("processes that leave gracefully interrupt nothing, and planted violations are detected", options, async t => {
     const leave: Scenario = {
         name: "leave",
         row: "host leaves while the live list lags",
@@ -52,8 +52,9 @@
     assert.ok(result.history.rules["at-most-once"].passed > 0);
 });
 
-// Callers repeat under their keys at both entries, also at the same moment and seconds later.
-test("no request runs twice when the store comes back from copies that lack its claim", options, async t => {
+// Callers send requests again under the same idempotency keys at both entries, at the same moment and seconds later.
+// A claim that a restored copy of the store lacks must not let such a request run a second time.
+test("no request runs twice when the store is restored from copies that lack its claim", options, async t => {
     const scenario = findScenario("store-copy");
     assert.ok(scenario);
     const result = await run(t, scenario);
@@ -77,5 +78,5 @@
     assert.ok(holds(result), formatDetails(result));
     assert.ok(sum(result, ({ completed }) => completed) > 0);
     assert.ok(result.history.rules.delivery.passed > 0);
-    assert.equal(result.history.incarnations, result.history.rules.recording.passed + 3, "three lost their end");
+    assert.equal(result.history.incarnations, result.history.rules.recording.passed + 3, "three wrote no final line");
 });
--- a/packages/proof/src/lib/runScenario.ts
+++ b/packages/proof/src/lib/runScenario.ts
@@ -15,20 +15,23 @@
 export interface RunOptions {
     readonly scenario: Scenario;
     readonly seed: number;
-    /** Seconds for which callers send after the first fault, at least. */
+    /** Seconds for which callers send requests after the warm-up, at least. */
     readonly seconds: number;
-    /** An existing folder for settings, logs and histories. */
+    /** The existing folder for settings, logs and histories. */
     readonly folder: string;
     readonly layout?: LayoutOptions;
     readonly modelRate?: number;
     readonly serviceRate?: number;
-    /** Whether to plant faults into the history afterwards, each of which the check must catch. */
+    /** Whether to check copies of the history with planted violations, each of which must be detected. */
     readonly plantsViolations?: boolean;
 }
 
+/** Milliseconds for which callers send requests before the scenario starts. */
 const warmUp = 7000;
 const millisecondsPerSecond = 1000;
+/** Requests per second. */
 const defaultModelRate = 10;
+/** Calls per second. */
 const defaultServiceRate = 12;
 
 /**
@@ -95,7 +98,7 @@
             seed,
             outcomes: countOutcomes(callers.results),
             codes: countCodes(callers.results),
-            repeated: callers.results.filter(({ attempts: tries }) => tries.length > 1).length,
+            repeated: callers.results.filter(({ attempts }) => attempts.length > 1).length,
             history,
             recovery,
             longestActivation: await longestActivation(files),
@@ -118,11 +121,15 @@
     return report.value;
 }
 
-function staleCheck({ expectsStaleOrders: staleOrders = false }: Scenario, count: number): ScenarioCheck[] {
-    const name = "targets refused orders with an old fence";
-    return staleOrders ? [{ name, holds: count > 0, detail: String(count) }] : [];
+function staleCheck({ expectsStaleOrders = false }: Scenario, count: number): ScenarioCheck[] {
+    const name = "targets rejected orders with a stale fencing token";
+    return expectsStaleOrders ? [{ name, holds: count > 0, detail: String(count) }] : [];
 }
 
-function stopCheck({ failedStops: badEnds }: Site): ScenarioCheck {
-    return { name: "every planned stop ends well", holds: badEnds.length === 0, detail: badEnds.join("; ") };
+function stopCheck({ failedStops }: Site): ScenarioCheck {
+    return {
+        name: "every planned stop exits with code 0 in time",
+        holds: failedStops.length === 0,
+        detail: failedStops.join("; "),
+    };
 }
