--- a/packages/proof/src/lib/callers/Callers.ts
+++ b/packages/proof/src/lib/callers/Callers.ts
@@ -5,16 +5,16 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { serviceAnswer, serviceName } from "../site/ServiceStandIn.js";
 import { siteModel } from "../site/siteModel.js";
-import { type CallEnd, callEntry, createConnections } from "./callEntry.js";
+import { callEntry, type CallResult, createConnections } from "./callEntry.js";
 
 /** @internal */
 export interface CallersOptions {
     readonly clock: Clock;
     readonly random: Random;
     readonly recorder: FileRecorder;
-    /** Where the entries take callers. */
+    /** The HTTP origins of the entries. */
     readonly origins: readonly string[];
-    /** Model requests and plain calls that arrive in a second, whatever becomes of those before. */
+    /** Model requests per second, and service calls per second; the rates do not depend on earlier requests. */
     readonly modelRate: number;
     readonly serviceRate: number;
 }
@@ -22,11 +22,11 @@
 /** The kinds of requests that callers send. @internal */
 export type RequestKind = "model" | "claimed model" | "read" | "publish";
 
-/** One request with all its tries. @internal */
-export interface RequestEnd {
+/** The outcome of one request, with all its attempts. @internal */
+export interface RequestResult {
     readonly kind: RequestKind;
-    readonly outcome: CallEnd["outcome"];
-    readonly tries: readonly CallEnd[];
+    readonly outcome: CallResult["outcome"];
+    readonly attempts: readonly CallResult[];
 }
 
 interface Call {
@@ -38,26 +38,30 @@
     readonly key?: string;
 }
 
-const maxTries = 4;
-const retryPause = 150;
+const maxAttempts = 4;
+/** Milliseconds before the first retry; the delay grows by as much with each further attempt. */
+const retryDelay = 150;
 const claimedShare = 0.2;
 const publishShare = 0.6;
-/** Shares of publishing calls that are sent twice at the same moment, and again some seconds later. */
-const twinShare = 0.3;
-const lateShare = 0.3;
-const lateAfter = 4000;
-/** How much the time between two requests varies, as a share of it. */
+/** Share of the calls with an idempotency key that are sent twice at the same moment. */
+const concurrentDuplicateShare = 0.3;
+/** Share of the calls with an idempotency key that are sent again later. */
+const delayedDuplicateShare = 0.3;
+/** Milliseconds after which a delayed duplicate is sent. */
+const duplicateDelay = 4000;
+/** Width of the variation of the time between two requests, as a share of the mean. */
 const jitter = 0.4;
 const millisecondsPerSecond = 1000;
 
 /**
- * Open-loop callers: requests arrive at their rate whatever becomes of those before. A request that fails is sent again
- * under its key at another entry; some are sent at two entries at the same moment, and some again much later.
+ * Open-loop callers: requests are sent at fixed rates regardless of the outcome of earlier ones. A failed request is
+ * retried at the next entry under the same idempotency key. Some requests with a key are sent twice at the same moment,
+ * and some are sent again seconds later.
  *
  * @internal
  */
 export class Callers {
-    readonly ends: RequestEnd[] = [];
+    readonly results: RequestResult[] = [];
     private readonly connections = createConnections();
     private readonly open = new Set<Promise<unknown>>();
     private readonly stopped = new AbortController();
@@ -65,14 +69,14 @@
 
     constructor(private readonly options: CallersOptions) {}
 
-    /** Begins to send. */
+    /** Starts sending requests. */
     start(): void {
         const { modelRate, serviceRate } = this.options;
-        void this.arrive(modelRate, () => this.modelCall());
-        void this.arrive(serviceRate, () => this.serviceCall());
+        void this.sendAtRate(modelRate, () => this.modelCall());
+        void this.sendAtRate(serviceRate, () => this.serviceCall());
     }
 
-    /** Sends no more, and waits until all that was sent has ended. */
+    /** Stops sending and waits until all requests in flight have ended. */
     async finish(): Promise<void> {
         this.stopped.abort();
         while (this.open.size > 0) {
@@ -81,7 +85,7 @@
         await this.connections.close();
     }
 
-    private async arrive(rate: number, create: () => Call): Promise<void> {
+    private async sendAtRate(rate: number, create: () => Call): Promise<void> {
         const { random } = this.options;
         while (!this.stopped.signal.aborted) {
             await pause((1 - jitter / 2 + jitter * random.next()) / rate * millisecondsPerSecond);
@@ -96,11 +100,11 @@
         if (call.kind !== "publish" && call.kind !== "claimed model") {
             return;
         }
-        if (this.options.random.next() < twinShare) {
+        if (this.options.random.next() < concurrentDuplicateShare) {
             this.track(this.run(call));
         }
-        if (this.options.random.next() < lateShare) {
-            this.track(pause(lateAfter).then(() => this.run(call)));
+        if (this.options.random.next() < delayedDuplicateShare) {
+            this.track(pause(duplicateDelay).then(() => this.run(call)));
         }
     }
 
@@ -143,23 +147,23 @@
         };
     }
 
-    /** Sends a call until it completes or all tries are used; each try goes to the next entry. */
+    /** Sends a call until it completes or all attempts are used; each attempt goes to the next entry. */
     private async run(call: Call): Promise<void> {
         const { origins, random } = this.options;
         const first = random.below(origins.length);
-        const tries: CallEnd[] = [];
-        for (let index = 0; index < maxTries; index++) {
-            const end = await this.tryOnce(call, origins[(first + index) % origins.length] ?? "");
-            tries.push(end);
+        const attempts: CallResult[] = [];
+        for (let index = 0; index < maxAttempts; index++) {
+            const end = await this.sendAttempt(call, origins[(first + index) % origins.length] ?? "");
+            attempts.push(end);
             if (end.outcome === "completed") {
                 break;
             }
-            await pause(retryPause * (index + 1));
+            await pause(retryDelay * (index + 1));
         }
-        this.ends.push({ kind: call.kind, outcome: tries.at(-1)?.outcome ?? "not run", tries });
+        this.results.push({ kind: call.kind, outcome: attempts.at(-1)?.outcome ?? "not run", attempts });
     }
 
-    private async tryOnce(call: Call, origin: string): Promise<CallEnd> {
+    private async sendAttempt(call: Call, origin: string): Promise<CallResult> {
         const { clock, recorder } = this.options;
         const callerRequest = uniqueId();
         const { key, expected } = call;
--- a/packages/proof/src/lib/callers/callEntry.ts
+++ b/packages/proof/src/lib/callers/callEntry.ts
@@ -2,13 +2,13 @@
 import { Agent as Connections, request } from "undici";
 import { z } from "zod";
 
-/** How a call ended, as its caller sees it. @internal */
-export interface CallEnd {
+/** The outcome of one call as observed by its caller. @internal */
+export interface CallResult {
     readonly outcome: "completed" | "not run" | "unknown";
-    /** The number of the result code, where the entry gave one. */
+    /** The number of the result code, if the entry returned one. */
     readonly code?: number;
     readonly text: string;
-    /** When the call was sent and when it ended, and when each piece of the answer came, by the clock. */
+    /** When the call was sent, when it ended, and when each piece of the answer arrived, by the clock. */
     readonly sentAt: number;
     readonly endedAt: number;
     readonly pieceTimes: readonly number[];
@@ -34,20 +34,20 @@
 });
 const dataPrefix = "data: ";
 const statusOk = 200;
-/** Errors of a connection that was never opened. */
-const neverOpened = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"]);
+/** Error codes of connections that were never established, so that the request cannot have run. */
+const connectErrorCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** Creates the connections of the callers; each call has its own. @internal */
+/** Creates a connection pool without pipelining; each call uses a connection of its own. @internal */
 export function createConnections(): Connections {
     return new Connections({ connect: { timeout: 2000 }, headersTimeout: 60_000, bodyTimeout: 60_000, pipelining: 0 });
 }
 
 /**
- * Makes one call and reads its answer to the end, as any caller does.
+ * Sends one call to an entry and reads its answer to the end.
  *
  * @internal
  */
-export async function callEntry(options: CallOptions): Promise<CallEnd> {
+export async function callEntry(options: CallOptions): Promise<CallResult> {
     const reader = new AnswerReader(options);
     try {
         const { statusCode, body } = await request(options.url, {
@@ -58,7 +58,7 @@
         });
         reader.status = statusCode;
         for await (const piece of body as AsyncIterable<Buffer>) {
-            reader.take(piece.toString("utf8"));
+            reader.append(piece.toString("utf8"));
         }
         return reader.end();
     }
@@ -70,9 +70,9 @@
 class AnswerReader {
     status = 0;
     private readonly sentAt: number;
-    private rest = "";
+    private partialLine = "";
     private text = "";
-    private finished = false;
+    private hasFinishReason = false;
     private whole = false;
     private failed: z.infer<typeof errorSchema> | undefined;
     private readonly pieceTimes: number[] = [];
@@ -81,17 +81,19 @@
         this.sentAt = options.clock.now();
     }
 
-    take(piece: string): void {
+    append(piece: string): void {
         if (this.status !== statusOk || !this.options.streamed) {
             this.text += piece;
             return;
         }
-        const lines = (this.rest + piece).split("\n");
-        this.rest = lines.pop() ?? "";
-        lines.filter(line => line.startsWith(dataPrefix)).forEach(line => this.takeData(line.slice(dataPrefix.length)));
+        const lines = (this.partialLine + piece).split("\n");
+        this.partialLine = lines.pop() ?? "";
+        lines.filter(line => line.startsWith(dataPrefix)).forEach(line =>
+            this.readEvent(line.slice(dataPrefix.length))
+        );
     }
 
-    end(): CallEnd {
+    end(): CallResult {
         if (this.status !== statusOk) {
             const parsed = errorSchema.safeParse(parseJson(this.text));
             return this.result(parsed.success ? parsed.data : undefined, "unknown");
@@ -102,14 +104,14 @@
         return this.result(this.failed, "unknown");
     }
 
-    broken(error: unknown): CallEnd {
+    broken(error: unknown): CallResult {
         const code = error instanceof Error && "code" in error ? String(error.code) : "";
-        return this.result(undefined, this.status === 0 && neverOpened.has(code) ? "not run" : "unknown");
+        return this.result(undefined, this.status === 0 && connectErrorCodes.has(code) ? "not run" : "unknown");
     }
 
-    private takeData(data: string): void {
+    private readEvent(data: string): void {
         if (data === "[DONE]") {
-            this.whole = this.finished;
+            this.whole = this.hasFinishReason;
             return;
         }
         const value = parseJson(data);
@@ -120,14 +122,14 @@
             return;
         }
         const choice = chunk.data.choices[0];
-        this.finished ||= typeof choice?.finish_reason === "string";
+        this.hasFinishReason ||= typeof choice?.finish_reason === "string";
         if (choice?.text !== undefined && choice.text !== "") {
             this.pieceTimes.push(this.options.clock.now());
             this.text += choice.text;
         }
     }
 
-    private result(failed: z.infer<typeof errorSchema> | undefined, otherwise: CallEnd["outcome"]): CallEnd {
+    private result(failed: z.infer<typeof errorSchema> | undefined, otherwise: CallResult["outcome"]): CallResult {
         const { text, sentAt, pieceTimes, options } = this;
         const outcome = failed?.error.execution ?? otherwise;
         return { outcome, code: failed?.error.number, text, sentAt, endedAt: options.clock.now(), pieceTimes };
--- a/packages/proof/src/lib/scenarios/operatorsRace.ts
+++ b/packages/proof/src/lib/scenarios/operatorsRace.ts
@@ -9,7 +9,9 @@
 const rounds = 20;
 const statusOk = 200;
 const statusConflict = 409;
-const inForceLimit = 4000;
+/** Milliseconds within which an accepted change must be in force on every entry. */
+const propagationTimeout = 4000;
+/** Milliseconds between two rounds. */
 const raceInterval = 200;
 const resourceSchema = z.object({ resourceVersion: z.number().int(), spec: z.object({ share: z.number() }) });
 
@@ -35,7 +37,7 @@
     return response.status;
 }
 
-/** Two operators who read the same version write at the same moment, again and again. */
+/** In each round two operators write the same resource at the same time, from the same version. */
 export const operatorsRace: Scenario = {
     name: "operators-race",
     row: "two operators race",
@@ -61,10 +63,10 @@
             else {
                 unexpected.push(`round ${round}: ${statuses.join(" and ")}`);
             }
-            version = await nextVersion(site, version);
+            version = await waitForNextVersion(site, version);
             await pause(raceInterval);
         }
-        await pause(inForceLimit);
+        await pause(propagationTimeout);
         const entries = site.layout.daemons.filter(({ role }) => role === "entry");
         const states = await Promise.all(entries.map(({ name }) => read(site, name)));
         const agreed = states.filter(({ spec }) => spec.share === last).length;
@@ -81,9 +83,9 @@
     },
 };
 
-/** Waits until a newer version is in force where it is read. */
-async function nextVersion(site: Site, version: number): Promise<number> {
-    for (let waited = 0; waited < inForceLimit; waited += raceInterval / 4) {
+/** Waits until entry-1 returns a newer version; returns the old one if that does not happen in time. */
+async function waitForNextVersion(site: Site, version: number): Promise<number> {
+    for (let waited = 0; waited < propagationTimeout; waited += raceInterval / 4) {
         const { resourceVersion } = await read(site, "entry-1");
         if (resourceVersion > version) {
             return resourceVersion;
