--- a/packages/control/src/lib/rollout/SiteDuty.ts
+++ b/packages/control/src/lib/rollout/SiteDuty.ts
@@ -306,13 +306,13 @@
     }
 
     /** Unloads the versions that have been unneeded for the drain delay and are not in use. */
-    private unload(lease: Lease, view: SiteView, leftovers: readonly UnneededVersion[]): void {
+    private unload(lease: Lease, view: SiteView, unneededVersions: readonly UnneededVersion[]): void {
         const now = this.options.clock.now();
-        const keys = new Set(leftovers.map(leftover => JSON.stringify(leftover)));
+        const keys = new Set(unneededVersions.map(unneeded => JSON.stringify(unneeded)));
         [...this.unneededSince.keys()].filter(key => !keys.has(key)).forEach(key => this.unneededSince.delete(key));
-        for (const leftover of leftovers) {
-            const { target, model, version } = leftover;
-            const key = JSON.stringify(leftover);
+        for (const unneeded of unneededVersions) {
+            const { target, model, version } = unneeded;
+            const key = JSON.stringify(unneeded);
             const since = this.unneededSince.get(key) ?? now;
             this.unneededSince.set(key, since);
             const inUse = view.targets.get(target)?.observation?.inUse ?? [];
--- a/packages/control/src/lib/rollout/planOrders.ts
+++ b/packages/control/src/lib/rollout/planOrders.ts
@@ -33,17 +33,17 @@
     // The layers of a dropped placement stay needed until its removal has been accepted.
     const allNeeds = collectNeeds(view, view.placements);
     const orders: SiteOrder[] = [];
-    const leftovers: UnneededVersion[] = [];
+    const unneededVersions: UnneededVersion[] = [];
     for (const target of view.targets.values()) {
         if (target.alive && target.observation !== undefined && target.spec.service === undefined) {
             const wanted = needs.get(target.name) ?? [];
             const unneeded = findUnneededVersions(target, allNeeds.get(target.name) ?? []);
-            leftovers.push(...unneeded);
+            unneededVersions.push(...unneeded);
             orders.push(...roleOrder(target, allNeeds.has(target.name)));
             orders.push(...wanted.flatMap(need => needOrders(target, need, unneeded, view)));
         }
     }
-    return { orders, unneededVersions: leftovers };
+    return { orders, unneededVersions };
 }
 
 function collectNeeds(view: SiteView, kept: readonly SitePlacement[]): Map<string, LayerNeed[]> {
@@ -101,7 +101,7 @@
 function needOrders(
     target: SiteTarget,
     need: LayerNeed,
-    leftovers: readonly UnneededVersion[],
+    unneededVersions: readonly UnneededVersion[],
     view: SiteView,
 ): SiteOrder[] {
     const held = findHeld(target, need);
@@ -112,11 +112,11 @@
     const layerBytes = view.models.find(({ name }) => name === model)?.spec.layerBytes ?? 0;
     const bytes = (last - first + 1) * layerBytes;
     // An engine can only unload a whole version, so a wrong range must be unloaded before the right one is loaded.
-    if (leftovers.some(other => other.model === model && other.version === version)) {
+    if (unneededVersions.some(other => other.model === model && other.version === version)) {
         return [];
     }
     // If nothing is to be unloaded and no order is in flight, the engine decides whether the memory suffices.
-    const isIdle = leftovers.length === 0 && target.settled;
+    const isIdle = unneededVersions.length === 0 && target.settled;
     const fits = isIdle || bytes <= (target.observation?.info.freeMemory ?? 0);
     const action = { kind: "load" as const, model, version, first, last, bytes };
     return [{ target: target.name, action, urgent, fits }];
--- a/packages/control/src/lib/rollout/planSite.ts
+++ b/packages/control/src/lib/rollout/planSite.ts
@@ -100,9 +100,9 @@
         this.view.placements.forEach(placement => this.assess(placement, models.get(placement.spec.model)));
         plans.forEach(facts => this.advance(facts));
         const kept = this.view.placements.filter(placement => !this.dropped.has(placement));
-        const { orders, unneededVersions: leftovers } = planOrders(this.view, kept);
+        const { orders, unneededVersions } = planOrders(this.view, kept);
         const { changes, pipelines, rollouts } = this;
-        return { changes, orders, unneededVersions: leftovers, pipelines, rollouts };
+        return { changes, orders, unneededVersions, pipelines, rollouts };
     }
 
     /** Drops the invalid and surplus placements of a model and creates its plan. */
--- a/packages/control/src/lib/testing/SiteWorld.ts
+++ b/packages/control/src/lib/testing/SiteWorld.ts
@@ -248,7 +248,7 @@
         return Object.assign(state, { member, runner, duty });
     }
 
-    private port(awake: WhenResumed): TargetPort {
+    private port(whenResumed: WhenResumed): TargetPort {
         const send = async <T>(deliver: () => Promise<Outcome<T>>, given?: MessageFault): Promise<Outcome<T>> => {
             const fault = given ?? this.messageFaults.shift();
             const lost = Result.err(failure(transportCodes.connectionLost, "lost"));
@@ -259,7 +259,7 @@
                 this.clock.schedule(() => void deliver(), 1000 + this.random.below(40_000));
                 return lost;
             }
-            const outcome = await awake(deliver());
+            const outcome = await whenResumed(deliver());
             return fault === "lostAfter" ? lost : outcome;
         };
         return {
--- a/packages/control/src/lib/testing/pausable.ts
+++ b/packages/control/src/lib/testing/pausable.ts
@@ -18,10 +18,10 @@
 }
 
 /** Wraps a clock that keeps running during a pause, while the timers of the process fire only after it. @internal */
-export function pausableClock(clock: Clock, awake: WhenResumed): Clock {
+export function pausableClock(clock: Clock, whenResumed: WhenResumed): Clock {
     return {
         now: () => clock.now(),
         date: () => clock.date(),
-        schedule: (callback, delay) => clock.schedule(() => void awake(Promise.resolve()).then(callback), delay),
+        schedule: (callback, delay) => clock.schedule(() => void whenResumed(Promise.resolve()).then(callback), delay),
     };
 }
