--- a/packages/claims/src/bench/measureOwner.ts
+++ b/packages/claims/src/bench/measureOwner.ts
@@ -5,9 +5,9 @@
 import { benchRequest } from "./measureRates.js";
 import { type Figures } from "./table.js";
 
-/** Claims in flight while a journal is filled. */
+/** Number of claims in flight while a journal is filled. */
 const batch = 200;
-/** Claims that {@link acquireTime} makes. */
+/** Number of claims that {@link acquireTime} makes. */
 const acquires = 2000;
 /** Milliseconds for which a journal may still be archiving after it was filled. */
 const archivingTime = 200;
--- a/packages/claims/src/lib/TableClaims.ts
+++ b/packages/claims/src/lib/TableClaims.ts
@@ -72,7 +72,7 @@
 const series = "table";
 /** Milliseconds after which a caller may retry. */
 const retryAfter = 1000;
-/** Claims kept in memory at most. An agent keeps the same number of the claims that it ran. */
+/** Maximum number of claims kept in memory. An agent keeps the same number of the claims that it ran. */
 const maxKnownClaims = 20_000;
 
 /**
--- a/packages/claims/src/lib/final/FinalClaimsStore.ts
+++ b/packages/claims/src/lib/final/FinalClaimsStore.ts
@@ -14,7 +14,7 @@
     readonly foundTtl?: number;
     /** Milliseconds for which the absence of an object is cached. */
     readonly missingTtl?: number;
-    /** Runners whose objects are cached at most. */
+    /** Maximum number of runners whose objects are cached. */
     readonly limit?: number;
 }
 
@@ -25,7 +25,7 @@
 
 const prefix = "claims/left/";
 
-/** Old objects of one target that are checked for deletion in one pass. */
+/** Maximum number of old objects of one target that are checked for deletion in one pass. */
 const maxOldObjects = 8;
 const defaults = { timeout: 1000, foundTtl: 30_000, missingTtl: 1000, limit: 16 };
 
@@ -34,7 +34,7 @@
  *
  * @example
  * ```ts
- * const finalClaims = new LeftClaimsStore({ objects, clock });
+ * const finalClaims = new FinalClaimsStore({ objects, clock });
  * await finalClaims.write(claimsOfThisAgent); // by the agent, once it can no longer run any request
  * const outcome = await finalClaims.find(claim); // by an entry that cannot reach the runner of a claim
  * ```
--- a/packages/claims/src/lib/journal/ArchiveIndex.ts
+++ b/packages/claims/src/lib/journal/ArchiveIndex.ts
@@ -1,4 +1,4 @@
-/** Bytes of a key's hash in its fingerprint. A double represents 6 bytes exactly. */
+/** Number of bytes of a key's hash that form its fingerprint. A double represents 6 bytes exactly. */
 const fingerprintBytes = 6;
 
 /**
--- a/packages/claims/src/lib/journal/Archiver.ts
+++ b/packages/claims/src/lib/journal/Archiver.ts
@@ -21,7 +21,7 @@
     readonly archiveAfter: number;
 }
 
-/** Rows deleted in one transaction. */
+/** Maximum number of rows deleted in one transaction. */
 const rowsPerDeletion = 100;
 
 /**
--- a/packages/claims/src/lib/journal/ClaimJournal.ts
+++ b/packages/claims/src/lib/journal/ClaimJournal.ts
@@ -45,15 +45,15 @@
     readonly onRecovery?: (recovery: ClaimRecovery) => void;
     /** Milliseconds after which a waiting call fails with `claimUnavailable`. */
     readonly callTimeout?: number;
-    /** Waiting calls at most; more are refused. */
+    /** Maximum number of waiting calls; further calls are refused. */
     readonly maxPending?: number;
-    /** Claims in one segment at most. */
+    /** Maximum number of claims in one segment. */
     readonly maxBatch?: number;
-    /** Claims of the partition at most; more are refused. An archived claim takes 8 bytes of memory. */
+    /** Maximum number of claims of the partition; more are refused. An archived claim takes 8 bytes of memory. */
     readonly maxClaims?: number;
-    /** Segments after which the segments are moved to an archive. */
+    /** Number of segments at which they are moved to an archive. */
     readonly archiveAfter?: number;
-    /** Rows requested in one scan. */
+    /** Maximum number of rows requested in one scan. */
     readonly pageSize?: number;
     /** Milliseconds for which new claims are refused after the store refused a write without a `retryAfter`. */
     readonly refusalPause?: number;
@@ -71,7 +71,7 @@
     refusalPause: 250,
 };
 
-/** Characters in a target's or an incarnation's name at most. */
+/** Maximum number of characters in a target's or an incarnation's name. */
 const maxNameLength = 256;
 
 /** Bounds in milliseconds of the back-off after a write with an unknown outcome. */
@@ -156,7 +156,7 @@
         return outcome;
     }
 
-    /** Whether nothing suggests that the store has segments not read yet, or lacks claims that it acknowledged. */
+    /** Whether, as far as this owner knows, all segments have been read and the store lacks no acknowledged claim. */
     private get isCurrent(): boolean {
         return this.isUpToDate && this.log.isRecovered;
     }
--- a/packages/claims/src/lib/journal/ClaimJournals.ts
+++ b/packages/claims/src/lib/journal/ClaimJournals.ts
@@ -15,7 +15,10 @@
     readonly objects: ObjectStore;
     readonly clock: Clock;
     readonly random: Random;
-    /** Partitions of the key space. Must be the same in every process, and must not change while claims are kept. */
+    /**
+     * Number of partitions of the key space. Must be the same in every process, and must not change while claims are
+     * kept.
+     */
     readonly partitions?: number;
     /** Writes per second for the claims of all partitions together. */
     readonly writesPerSecond?: number;
--- a/packages/claims/src/lib/journal/LostClaims.ts
+++ b/packages/claims/src/lib/journal/LostClaims.ts
@@ -45,7 +45,7 @@
      * The next records to write again. A record counts as written once the state holds it.
      *
      * @param state - The state of the reloaded partition.
-     * @param limit - The number of records at most.
+     * @param limit - The maximum number of records.
      */
     next(state: PartitionView, limit: number): readonly ClaimRecord[] {
         const lost = selectPrevailingClaims(this.claims).filter(claim => this.isLost(claim, state));
--- a/packages/claims/src/lib/journal/PartitionLog.ts
+++ b/packages/claims/src/lib/journal/PartitionLog.ts
@@ -34,7 +34,7 @@
     readonly table: TableStore;
     readonly objects: ObjectStore;
     readonly clock: Clock;
-    /** Rows requested in one scan. */
+    /** Maximum number of rows requested in one scan. */
     readonly pageSize: number;
 }
 
--- a/packages/claims/src/lib/journal/RecentSegments.ts
+++ b/packages/claims/src/lib/journal/RecentSegments.ts
@@ -8,7 +8,10 @@
     readonly segment: Segment;
 }
 
-/** Segments kept: what a partition writes in 20 s at its full rate. Copies of the store are some seconds old. */
+/**
+ * Number of segments kept: what a partition writes in 20 s at its full rate. Copies of the store are only some seconds
+ * old.
+ */
 const maxSegments = 128;
 
 /**
--- a/packages/claims/src/lib/journal/archives.ts
+++ b/packages/claims/src/lib/journal/archives.ts
@@ -5,7 +5,7 @@
 import { type ClaimRecord, packRecords, recordBlockSchema, unpackRecords } from "./ClaimRecord.js";
 import { readJson } from "./readValue.js";
 
-/** Concurrent reads at most. */
+/** Maximum number of concurrent reads. */
 const readsAtOnce = 8;
 
 /** The name of the object that holds the index of an archive. @internal */
--- a/packages/claims/src/lib/recovery/createReportCollector.ts
+++ b/packages/claims/src/lib/recovery/createReportCollector.ts
@@ -29,7 +29,7 @@
      * claim.
      */
     readonly timeout?: number;
-    /** Concurrent requests at most. */
+    /** Maximum number of concurrent requests. */
     readonly concurrency?: number;
 }
 
--- a/packages/claims/src/lib/routing/ClaimRouter.ts
+++ b/packages/claims/src/lib/routing/ClaimRouter.ts
@@ -25,7 +25,7 @@
     readonly attemptTimeout?: number;
     /** Milliseconds after which no further owner is tried. */
     readonly totalTimeout?: number;
-    /** Attempts per call at most. */
+    /** Maximum number of attempts per call. */
     readonly maxAttempts?: number;
     /** Milliseconds for which an owner that did not respond is tried last. */
     readonly avoidDuration?: number;
--- a/packages/claims/src/lib/routing/OwnerRanking.ts
+++ b/packages/claims/src/lib/routing/OwnerRanking.ts
@@ -65,7 +65,7 @@
     }
 }
 
-/** Owners kept in the ranking of a partition. */
+/** Number of owners kept in the ranking of a partition. */
 const maxRanked = 4;
 
 function rankByScore(owners: readonly ClaimOwner[], partition: number): readonly ClaimOwner[] {
--- a/packages/control/src/lib/orders/LoadPermits.ts
+++ b/packages/control/src/lib/orders/LoadPermits.ts
@@ -45,7 +45,8 @@
 export interface LoadPermitsOptions {
     readonly store: TableStore;
     /**
-     * Most loads that may run at once in the whole system, so that each gets a fair share of the weight store's rate.
+     * Maximum number of loads that may run at once in the whole system, so that each gets a fair share of the weight
+     * store's rate.
      */
     readonly limit?: number;
     /** Number of permits within the limit that are reserved for urgent loads. */
--- a/packages/control/src/lib/rollout/ModelPlan.ts
+++ b/packages/control/src/lib/rollout/ModelPlan.ts
@@ -4,7 +4,7 @@
 import { isPresent, isUnloaded } from "./holdings.js";
 import { type SiteModel, type SitePlacement, type SiteView } from "./SiteView.js";
 
-/** Most old pipelines that are tried when one is to be removed to make room for the current version. */
+/** Maximum number of old pipelines that are tried when one is to be removed to make room for the current version. */
 const maxYieldCandidates = 8;
 
 /** @internal */
--- a/packages/policy/src/lib/admission/FirstTokenModel.ts
+++ b/packages/policy/src/lib/admission/FirstTokenModel.ts
@@ -51,7 +51,9 @@
  * @internal
  */
 export class FirstTokenModel {
+    /** Weights averaged over the last observations. */
     private readonly recent: Weights;
+    /** The long-run weights, averaged over {@link longRunFactor} times as many observations. */
     private readonly usual: Weights;
     private deviation = 0;
     private observedAt: number;
--- a/packages/policy/src/lib/routing/CostModel.ts
+++ b/packages/policy/src/lib/routing/CostModel.ts
@@ -48,6 +48,7 @@
  * @internal
  */
 export class CostModel {
+    /** Peer figures by model version or service, as of the last refresh. */
     private readonly usual = new Map<string, PeerFigures>();
     /** Learned delay between data centres beyond the configured latency, in milliseconds, by pair. */
     private readonly extraDelay = new Map<string, number>();
--- a/packages/policy/src/lib/routing/cacheFeedback.test.ts
+++ b/packages/policy/src/lib/routing/cacheFeedback.test.ts
@@ -63,6 +63,7 @@
         }
         return Math.max(...heads.values());
     };
+    // With and without feedback.
     const [told, untold] = [mostOnOne(true), mostOnOne(false)];
     assert.ok(untold >= 30, `${untold} of 60 on one target without feedback`);
     assert.ok(told <= 15, `${told} of 60 on one target despite reported misses`);
@@ -97,6 +98,7 @@
         const heads = Array.from({ length: 20 }, () => headOf(choose(router, fresh)));
         return heads.filter(head => head === "target-0").length / heads.length;
     };
+    // With and without feedback.
     const [told, untold] = [shareAfter(true), shareAfter(false)];
     assert.ok(untold < 0.4, `${untold} without feedback`);
     assert.ok(told >= 0.4, `${told} with feedback`);
