--- a/packages/agent/src/lib/AgentSettings.ts
+++ b/packages/agent/src/lib/AgentSettings.ts
@@ -10,7 +10,7 @@
     readonly stepPatience: number;
     /** Timeout for a token at the head, as a multiple of the token bound. After it the head queries the stages. */
     readonly silencePatience: number;
-    /** Lower limit in milliseconds of the step and silence timeouts, whatever the token bound. */
+    /** Lower limit in milliseconds of the step and silence timeouts, regardless of the token bound. */
     readonly minimumTimeout: number;
     /** Timeout in milliseconds of the state query to a stage after a token did not arrive. */
     readonly stateTimeout: number;
@@ -32,17 +32,21 @@
     readonly linkHighWater: number;
     /** Maximum number of concurrent attempts of later stages, per slot of the engine. */
     readonly attemptsPerSlot: number;
-    /** Maximum number of finished requests whose epoch is remembered, and for how many milliseconds. */
+    /** Maximum number of finished requests whose epoch is remembered. */
     readonly finishedRequests: number;
+    /** Milliseconds for which the epoch of a finished request is remembered. */
     readonly finishedRetention: number;
-    /** Maximum number of stopped claims that are remembered, and for how many milliseconds. Older ones are unknown. */
+    /** Maximum number of stopped claims that are remembered. The outcome of evicted ones is unknown. */
     readonly claims: number;
+    /** Milliseconds for which a stopped claim is remembered. */
     readonly claimRetention: number;
-    /** Bytes of answers that are kept for duplicates, and for how many milliseconds. */
+    /** Maximum bytes of answers that are kept for duplicates. */
     readonly claimBytes: number;
+    /** Milliseconds for which an answer is kept for duplicates. */
     readonly claimAnswerRetention: number;
-    /** Bytes of answers that a leaving target stores for duplicates, and for how many milliseconds they are kept. */
+    /** Maximum bytes of answers that a leaving target stores for duplicates. */
     readonly leftClaimBytes: number;
+    /** Milliseconds for which the claims that a leaving target stored are kept. */
     readonly leftClaimRetention: number;
     /** Milliseconds between two load reports on a link that carries traffic. */
     readonly loadInterval: number;
@@ -56,10 +60,14 @@
     readonly leaveLinger: number;
     /** Milliseconds after the start of leaving at which the remaining requests are interrupted. */
     readonly drainLimit: number;
-    /** Milliseconds after the leaving announcement from which the target may accept no new work; for the history. */
+    /**
+     * Milliseconds after its announcement within which a leaving target must stop accepting work. Recorded in the
+     * history, whose checker reports work that was accepted later.
+     */
     readonly leavingBound: number;
-    /** Bytes in one piece of a plain service's answer, and bytes of one answer that are kept for duplicates. */
+    /** Maximum bytes in one piece of a plain service's answer. */
     readonly replyPiece: number;
+    /** Bytes of one answer of a plain service that are kept for duplicates. */
     readonly replyMemory: number;
 }
 
--- a/packages/agent/src/lib/claims/ClaimTable.ts
+++ b/packages/agent/src/lib/claims/ClaimTable.ts
@@ -237,7 +237,7 @@
         );
     }
 
-    /** Checks that this agent is the runner of the claim. Any other agent cannot tell whether the request ran. */
+    /** Checks that this agent is the runner of the claim. Any other agent cannot know whether the request ran. */
     private checkRunner({ claim, route, organisation }: ClaimUse): Failure | undefined {
         const identity = decodeClaim(claim);
         if (identity === undefined) {
--- a/packages/agent/src/lib/kv/importCache.ts
+++ b/packages/agent/src/lib/kv/importCache.ts
@@ -62,8 +62,8 @@
 
 /**
  * Returns the number of leading positions at which an earlier attempt holds the same tokens as the new one. For the
- * attempt directly before the new one, that is everything delivered; for an older one, only what both knew when they
- * began.
+ * attempt directly before the new one, these are all delivered positions; for an older one, only those whose tokens all
+ * later attempts share, see {@link SessionRecord}.
  */
 function usablePositions(found: FoundCache, epoch: number, wanted: number): number {
     const shared = found.epoch === epoch - 1 ? wanted : found.cache.known;
--- a/packages/agent/src/lib/load/CacheWatch.ts
+++ b/packages/agent/src/lib/load/CacheWatch.ts
@@ -3,7 +3,7 @@
 import { callEngine } from "../callEngine.js";
 
 /** Minimum number of lost events at which the state of the cache can count as unknown. */
-const fewLostEvents = 16;
+const minLostEvents = 16;
 /** The share of the cache that lost events may affect before its state counts as unknown. */
 const unknownShare = 0.25;
 /** Milliseconds over which evictions are averaged. */
@@ -42,7 +42,8 @@
 
 /**
  * Polls the engine's cache events and condenses them to two numbers, since sending all events to all entries would cost
- * far too much; docs/design/cache-feedback.md has the calculation. It stores only counters, whatever the cache's size.
+ * far too much; docs/design/cache-feedback.md has the calculation. It stores only counters, for a cache of any
+ * size.
  *
  * @internal
  */
@@ -159,7 +160,7 @@
         }
         this.updateEvictionRate(counts.evicted * scale);
         const lostBlocks = (counts.stored + counts.evicted) * (scale - 1);
-        if (counts.lost >= fewLostEvents && lostBlocks > unknownShare * (this.held ?? 0)) {
+        if (counts.lost >= minLostEvents && lostBlocks > unknownShare * (this.held ?? 0)) {
             this.generation++;
         }
     }
--- a/packages/agent/src/lib/modelLimits.ts
+++ b/packages/agent/src/lib/modelLimits.ts
@@ -23,7 +23,7 @@
 }
 
 /** The ratio of the hard timeout to the silence timeout. */
-const hardFactor = 8;
+const hardTimeoutFactor = 8;
 
 /** Derives the timeouts of a model. @internal */
 export function timeoutsOf(configuration: Configuration, model: string, settings: AgentSettings): Timeouts {
@@ -39,7 +39,7 @@
     const join = (importing: boolean): number =>
         Math.max(settings.minimumTimeout, settings.joinShare * firstTokenBound)
         + (importing ? settings.importTimeout : 0);
-    return { firstToken: firstTokenBound, join, step, silence, hard: count => hardFactor * silence(count) };
+    return { firstToken: firstTokenBound, join, step, silence, hard: count => hardTimeoutFactor * silence(count) };
 }
 
 /** Returns the maximum number of tokens of prompt and answer together for a model. @internal */
--- a/packages/agent/src/lib/service/ServiceProxy.ts
+++ b/packages/agent/src/lib/service/ServiceProxy.ts
@@ -140,7 +140,7 @@
         };
         const stream = new CallStream({ link, request, credit, load: () => load.report(), ended });
         load.begin(link);
-        // The count keeps ids unique: an aborted call holds its slot for a moment, in which its request may come again.
+        // The counter keeps ids unique: an aborted call holds its slot briefly, and its request may be repeated then.
         const item = `call/${request}/${this.callCount++}`;
         this.calls.set(request, { stream, claimed: message.claim !== undefined, item, call: undefined });
         return stream;
@@ -148,7 +148,7 @@
 
     private check({ service, path, method, body, claim }: CallMessage): Failure | undefined {
         if (this.knows(claim)) {
-            // The call may have run here, so it must not be refused as "not run", whatever is wrong with it now.
+            // The call may have run here, so it must not be refused as "not run" for any reason.
             return undefined;
         }
         if (this.context.load.leaving) {
--- a/packages/agent/src/lib/stage/EngineActivity.ts
+++ b/packages/agent/src/lib/stage/EngineActivity.ts
@@ -45,7 +45,8 @@
         const { engine, clock, answerTime } = this.options;
         const answer = callEngine(() => engine.info()).then(outcome => outcome.isOk);
         const silence = new Promise<boolean>(resolve => {
-            // After a pause of this process, timers run before sockets are read; a second timer lets the answer win.
+            // After a pause of this process, expired timers run before sockets are read. The second timer leaves time
+            // to read an answer that has already arrived.
             const expire = (): void => void clock.schedule(() => resolve(false), socketReadTime);
             const timer = clock.schedule(expire, answerTime);
             void answer.then(() => timer.cancel());
