--- a/packages/config/src/lib/distribution/ProgressCollector.ts
+++ b/packages/config/src/lib/distribution/ProgressCollector.ts
@@ -20,7 +20,7 @@
 const maxDirectRequests = 32;
 /** The share of its timeout that a process grants its children, so that it can still answer after they time out. */
 const childTimeoutShare = 0.8;
-const maxRememberedQuestions = 100;
+const maxRememberedQueries = 100;
 
 /**
  * The progress of a revision over all processes.
@@ -70,7 +70,7 @@
         const { membership } = this.context;
         const hosts = membership.members().length;
         const params = { question: uniqueId(), revision, names: false, timeout: timeout / 2 };
-        const quick = merge(await this.askReaders(params));
+        const quick = merge(await this.queryReaders(params));
         if (quick.reached === hosts) {
             return { revision, hosts, behindCount: quick.behindCount, behind: quick.behind };
         }
@@ -81,7 +81,7 @@
     private async collectByName(params: ProgressParams): Promise<Progress> {
         const { membership } = this.context;
         const members = membership.members();
-        const answers = await this.askReaders(params);
+        const answers = await this.queryReaders(params);
         const reached = new Set(answers.flatMap(answer => answer.names ?? []));
         const missing = members.filter(one => !reached.has(one.process));
         const direct = await Promise.all(missing.slice(0, maxDirectRequests).map(one => this.query(one, params)));
@@ -99,7 +99,7 @@
         };
     }
 
-    private async askReaders(params: ProgressParams): Promise<ProgressAnswer[]> {
+    private async queryReaders(params: ProgressParams): Promise<ProgressAnswer[]> {
         const { membership } = this.context;
         const readers = membership.dataCentres().flatMap(centre => membership.readers(centre));
         const answers = await Promise.all(readers.map(reader => this.query(reader, params)));
@@ -129,7 +129,7 @@
         }
         this.answered.add(question);
         const [oldest] = this.answered;
-        if (this.answered.size > maxRememberedQuestions && oldest !== undefined) {
+        if (this.answered.size > maxRememberedQueries && oldest !== undefined) {
             this.answered.delete(oldest);
         }
         return true;
--- a/packages/config/src/lib/membership/Membership.ts
+++ b/packages/config/src/lib/membership/Membership.ts
@@ -350,8 +350,8 @@
         let dropped = false;
         for (const group of groups.values()) {
             const lost = group.filter(entry => this.stateOf(entry) === "unreachable");
-            const mass = group.length >= minMassLossGroup && lost.length > group.length * massLossThreshold;
-            const limit = mass ? this.options.retention : this.options.grace;
+            const isMassLoss = group.length >= minMassLossGroup && lost.length > group.length * massLossThreshold;
+            const limit = isMassLoss ? this.options.retention : this.options.grace;
             const gone = group.filter(entry => this.isExpired(entry, limit));
             gone.forEach(entry => this.remove(entry.host.process));
             dropped ||= gone.length > 0;
