--- a/packages/entry/src/lib/OpenRequests.ts
+++ b/packages/entry/src/lib/OpenRequests.ts
@@ -22,7 +22,7 @@
         this.abortHandler = handler;
     }
 
-    /** Sets a function that runs once, when the request needs nothing more from targets, whatever its result. */
+    /** Sets a function that runs once, when the request needs nothing more from targets, regardless of its result. */
     onAnswered(handler: () => void): void {
         this.answeredHandler = handler;
     }
--- a/packages/entry/src/lib/links/ClaimBinding.ts
+++ b/packages/entry/src/lib/links/ClaimBinding.ts
@@ -10,15 +10,15 @@
  *
  * @internal
  */
-export type ClaimSubject = Omit<ClaimRequest, "runner">;
+export type UnboundClaimRequest = Omit<ClaimRequest, "runner">;
 
 /** @internal */
 export interface ClaimBindingOptions {
     readonly claims: Claims;
     readonly links: AgentLinks;
     readonly configuration: Configuration;
-    readonly subject: ClaimSubject;
-    /** Looks up the final outcome that the runner of a claim stored before it left; by default there is none. */
+    readonly claimRequest: UnboundClaimRequest;
+    /** Looks up the final outcome that the runner of a claim stored before it left; by default, none is found. */
     readonly findFinalOutcome?: FindFinalOutcome;
 }
 
@@ -121,7 +121,10 @@
     }
 
     private async bindOnce(agent: AgentAddress, link: AgentLink): Promise<Outcome<BoundRunner>> {
-        const request = { ...this.options.subject, runner: { target: agent.target, incarnation: link.incarnation } };
+        const request = {
+            ...this.options.claimRequest,
+            runner: { target: agent.target, incarnation: link.incarnation },
+        };
         const recorded = await this.acquireOrMove(request);
         if (recorded.isErr) {
             return Result.err(recorded.error);
--- a/packages/entry/src/lib/models/ModelRequest.ts
+++ b/packages/entry/src/lib/models/ModelRequest.ts
@@ -1,5 +1,5 @@
 import { type Sampling } from "@waxwingspar/transport";
-import { type ClaimSubject } from "../links/ClaimBinding.js";
+import { type UnboundClaimRequest } from "../links/ClaimBinding.js";
 import { prefixHashes } from "./prefixHashes.js";
 
 /**
@@ -30,7 +30,7 @@
     /** Deadline for the complete answer, in the clock's time. */
     readonly deadline: number;
     /** Set for a request that is not idempotent. */
-    readonly claim: ClaimSubject | undefined;
+    readonly claim: UnboundClaimRequest | undefined;
 }
 
 /** Returns the request for a certain version of its model. @internal */
--- a/packages/entry/src/lib/models/RequestRun.ts
+++ b/packages/entry/src/lib/models/RequestRun.ts
@@ -14,7 +14,7 @@
 import { Recovery } from "../recovery/Recovery.js";
 import { type ChainChoice, chooseChain } from "../versions/chooseChain.js";
 import { Attempt } from "./Attempt.js";
-import { headOf, joinRunner } from "./chains.js";
+import { headOf, rerouteToRunner } from "./chains.js";
 import { type ModelRequest } from "./ModelRequest.js";
 import { type RequestRunOptions } from "./RequestRunOptions.js";
 
@@ -116,7 +116,7 @@
         const { agent, link, claim } = connected.value;
         if (headOf(routed) !== agent.target) {
             routed.end("cancelled");
-            routed = this.choose().unwrapOr(joinRunner(routed, agent));
+            routed = this.choose().unwrapOr(rerouteToRunner(routed, agent));
         }
         this.open(routed, link, claim?.id);
     }
--- a/packages/entry/src/lib/models/chains.ts
+++ b/packages/entry/src/lib/models/chains.ts
@@ -2,12 +2,13 @@
 import { type AgentAddress } from "../links/AgentLinks.js";
 
 /**
- * The chain for a duplicate whose runner gets no new work from the router. Joining a request that already runs there is
- * not new work. If nothing runs there, the runner refuses the request and the claim is moved.
+ * Returns the chain with its head replaced by the runner of a claim, for a duplicate whose runner gets no new work from
+ * the router. Joining a request that already runs there is not new work. If nothing runs there, the runner refuses the
+ * request and the claim is moved.
  *
  * @internal
  */
-export function joinRunner(routed: RoutedAttempt, { target, host, port }: AgentAddress): RoutedAttempt {
+export function rerouteToRunner(routed: RoutedAttempt, { target, host, port }: AgentAddress): RoutedAttempt {
     const stages = routed.stages.map((stage, index) => index === 0 ? { ...stage, target, host, port } : stage);
     return { stages, firstToken: () => undefined, token: () => undefined, end: () => undefined };
 }
--- a/packages/entry/src/lib/models/completionsRoute.ts
+++ b/packages/entry/src/lib/models/completionsRoute.ts
@@ -15,7 +15,7 @@
 import { PacedWriter } from "../http/PacedWriter.js";
 import { type ReplyMemory } from "../http/ReplyMemory.js";
 import { type AgentLinks } from "../links/AgentLinks.js";
-import { ClaimBinding, type ClaimSubject, type FindFinalOutcome } from "../links/ClaimBinding.js";
+import { ClaimBinding, type FindFinalOutcome, type UnboundClaimRequest } from "../links/ClaimBinding.js";
 import { type OpenRequest } from "../OpenRequests.js";
 import { type ModelVersions } from "../versions/ModelVersions.js";
 import { AnswerFormat } from "./AnswerFormat.js";
@@ -108,8 +108,8 @@
     const sink = completion.stream
         ? new StreamedAnswer({ exchange, format, writer, includeUsage: completion.includeUsage })
         : new WholeAnswer({ exchange, format, writer });
-    const subject = request.claim;
-    const binding = subject === undefined ? undefined : new ClaimBinding({ ...services, subject });
+    const claimRequest = request.claim;
+    const binding = claimRequest === undefined ? undefined : new ClaimBinding({ ...services, claimRequest });
     const run = new RequestRun({ ...services, request, sink, binding, span: open.span, onEnd: () => open.answered() });
     open.onAbort(() =>
         run.cancel(failure(requestCodes.outcomeUnknown, "the process stopped before the answer was complete"))
@@ -192,7 +192,7 @@
     completion: CompletionRequest,
     { key, nonIdempotent }: RequestHeaders,
     route: string,
-): ClaimSubject | undefined {
+): UnboundClaimRequest | undefined {
     if (!nonIdempotent || key === undefined) {
         return undefined;
     }
--- a/packages/entry/src/lib/models/interleavings.test.ts
+++ b/packages/entry/src/lib/models/interleavings.test.ts
@@ -54,7 +54,7 @@
         const router = new FakeRouter(agents.map(({ target, address }) => [{ target, ...address, first: 0, last: 1 }]));
         const links = new AgentLinks({ links: new FakeLinkPool(agents), router });
         const request = toRequest(id, this.clock.now(), claimed);
-        const subject = request.claim;
+        const claimRequest = request.claim;
         const { clock, claims, configuration } = this;
         const findFinalOutcome = ({ id, runner }: Claim): Promise<FinalOutcome> =>
             Promise.resolve(this.finalOutcomes.get(runner.incarnation)?.(id) ?? { kind: "unknown" });
@@ -66,7 +66,7 @@
             organisation: "ports",
             route: "demo",
             idempotent: !claimed,
-            key: subject?.key,
+            key: claimRequest?.key,
         });
         const tracer = trace.getTracer("test");
         answer.run = new RequestRun({
@@ -82,7 +82,7 @@
             versions: { rank: () => ["1"] },
             tracer,
             span: tracer.startSpan("request"),
-            binding: subject === undefined ? undefined : new ClaimBinding({ ...bindingOptions, subject }),
+            binding: claimRequest === undefined ? undefined : new ClaimBinding({ ...bindingOptions, claimRequest }),
             onEnd: () => undefined,
         });
         this.answers.push(answer);
--- a/packages/entry/src/lib/recovery/failures.ts
+++ b/packages/entry/src/lib/recovery/failures.ts
@@ -1,7 +1,7 @@
 import { type WireFailure } from "@waxwingspar/transport";
 import { type Failure, failure, findResultCode, requestCodes, transportCodes } from "@waxwingspar/utils";
 
-/** Result codes after which another target may succeed; any other fails alike on all targets, or is final. */
+/** Result codes after which another target may succeed; any other would recur on every target, or is final. */
 const retryElsewhereCodes: ReadonlySet<number> = new Set([
     requestCodes.overloaded.number,
     requestCodes.noCapacity.number,
@@ -22,7 +22,8 @@
 }
 
 /**
- * Converts a failure sent by an agent. An unknown code tells nothing about execution, so it becomes `outcomeUnknown`.
+ * Converts a failure sent by an agent. An unknown code does not show whether the request ran, so it
+ * becomes `outcomeUnknown`.
  *
  * @internal
  */
--- a/packages/entry/src/lib/services/serviceRoute.ts
+++ b/packages/entry/src/lib/services/serviceRoute.ts
@@ -6,7 +6,7 @@
 import { readRequestHeaders, type RequestHeaders } from "../callers/requestHeaders.js";
 import { type Exchange } from "../http/Exchange.js";
 import { PacedWriter } from "../http/PacedWriter.js";
-import { ClaimBinding, type ClaimSubject } from "../links/ClaimBinding.js";
+import { ClaimBinding, type UnboundClaimRequest } from "../links/ClaimBinding.js";
 import { keyMissing, type RouteServices } from "../models/completionsRoute.js";
 import { mayUse } from "../models/findModel.js";
 import { type OpenRequest } from "../OpenRequests.js";
@@ -87,8 +87,8 @@
         idempotent: !nonIdempotent,
         key: headers.key,
     });
-    const subject = nonIdempotent ? claimOf(request, service, headers) : undefined;
-    const binding = subject === undefined ? undefined : new ClaimBinding({ ...services, subject });
+    const claimRequest = nonIdempotent ? claimOf(request, service, headers) : undefined;
+    const binding = claimRequest === undefined ? undefined : new ClaimBinding({ ...services, claimRequest });
     const sink = replySink(services, exchange);
     const call = new ServiceCall({
         ...services,
@@ -129,7 +129,7 @@
     request: ServiceRequest,
     { spec }: Resource<"service">,
     { key }: RequestHeaders,
-): ClaimSubject | undefined {
+): UnboundClaimRequest | undefined {
     if (key === undefined) {
         return undefined;
     }
