--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -105,7 +105,7 @@
     /** By table name. */
     private readonly watches: ReadonlyMap<string, TableWatch>;
     private hasTargetList = false;
-    private readonly contact: StoreHealth;
+    private readonly storeHealth: StoreHealth;
     private isStopping = false;
     private refusesNewRequests = false;
     private stopped: Promise<void> | undefined;
@@ -116,7 +116,7 @@
         const { eras, observation } = this;
         const store = new EraStore({ store: options.store, eras, observation });
         this.store = store;
-        this.contact = new StoreHealth(this.observation);
+        this.storeHealth = new StoreHealth(this.observation);
         const { keyRevocation } = settings;
         this.configuration = new ConfigurationInForce({
             clock,
@@ -178,7 +178,7 @@
                 slowTargets: this.paces.listObserved(),
                 crashes: this.crashes.counts.listSeen(),
                 dutyTerm: this.lease.isHeld ? this.lease.term : undefined,
-                mayTakeDuty: this.contact.isHealthy && this.lease.mayAcquire && !this.isStopping,
+                mayTakeDuty: this.storeHealth.isHealthy && this.lease.mayAcquire && !this.isStopping,
             }),
             words: () => this.words,
             onTableStatus: (table, tableStatus, after) => this.receiveTableStatus(table, tableStatus, after),
@@ -293,7 +293,7 @@
             table,
             contactTime: settings.contactTime,
             role: () => isOn("shared-watches") ? this.watchRole : "alone",
-            ...this.contact.createListeners(table),
+            ...this.storeHealth.createListeners(table),
         });
         const configurationWatch = createConfigurationWatch({
             ...createWatchOptions(tables.configurationTable),
@@ -323,8 +323,8 @@
 
     /** The status of each watched table, as peers receive it. */
     private get words(): TableStatuses {
-        const words = [...this.watches].flatMap(([table, { status: word }]) =>
-            word === undefined ? [] : [[table, word] as const]
+        const words = [...this.watches].flatMap(([table, { status: tableStatus }]) =>
+            tableStatus === undefined ? [] : [[table, tableStatus] as const]
         );
         return Object.fromEntries(words);
     }
--- a/packages/gateway/src/lib/chains/ChainService.ts
+++ b/packages/gateway/src/lib/chains/ChainService.ts
@@ -51,8 +51,8 @@
 /**
  * Silence of a chain after which its targets are surveyed, as a multiple of the mean interval between a stream's
  * events. The streams stay on the chain during the survey. Each survey that finds no fault raises the factor for this
- * chain, since reports have a price: a constant factor of 1.2 takes 1,800 more of them on a simulated day, 0.004 of its
- * request value.
+ * chain, since each report is billed: a constant factor of 1.2 takes 1,800 more of them on a simulated day, 0.004 of
+ * its request value.
  */
 const surveyFactor = { first: 1.2, step: 0.2, max: 2.2 };
 /**
@@ -90,7 +90,7 @@
 const maxCheckPause = 90;
 /** Milliseconds for which a stalled chain gets no new requests, unless a survey finds a faulty target. */
 const stallAvoidanceTime = 1_500;
-/** Milliseconds between two surveys of a chain: reports have a price, and recovering a lost range takes longer. */
+/** Milliseconds between two surveys of a chain: each report is billed, and recovering a lost range takes longer. */
 const surveyInterval = 500;
 /** HTTP status of a target that does not hold the layers that it was asked to run. */
 const misdirectedStatus = 421;
--- a/packages/gateway/src/lib/chains/TargetInspector.ts
+++ b/packages/gateway/src/lib/chains/TargetInspector.ts
@@ -178,15 +178,15 @@
     ): Promise<InspectionResult> {
         const { clock, directory, engines, loop } = this.options;
         const target = directory.get(id);
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         const report = target === undefined ? undefined : await engines.fetchReport(target, reportTimeout);
         this.running.delete(id);
         if (target === undefined || !directory.confirmsIncarnation(target, report?.startedAt)) {
             return "healthy";
         }
-        if (report === undefined && loop.blockedTimeSince(askedAt) > maxReportPause) {
+        if (report === undefined && loop.blockedTimeSince(requestedAt) > maxReportPause) {
             this.options.observation.logs.chains.warn(
-                { target: id, stoodStill: Math.round(loop.blockedTimeSince(askedAt)) },
+                { target: id, stoodStill: Math.round(loop.blockedTimeSince(requestedAt)) },
                 "missing report ignored",
             );
             return "healthy";
--- a/packages/gateway/src/lib/directory/leavingTargets.test.ts
+++ b/packages/gateway/src/lib/directory/leavingTargets.test.ts
@@ -15,8 +15,8 @@
  * The failure occurs when the age of data is measured from the arrival of a reply instead of the moment at which the
  * data was current. In one case the store was down for 6 s, until 3.3 s before the target left. The gateway noticed the
  * recovery only with the reply that removed the target's entry ("store regained" and "target lapsed" were logged
- * together), took the entry for one that had expired in the outage, and kept sending requests for 2.2 s until it logged
- * "target removed".
+ * together), treated the entry as one that had expired in the outage, and kept sending requests for 2.2 s until it
+ * logged "target removed".
  *
  * The tests cover both causes, with faults that begin at different moments of a call's wait: a call that hangs on an
  * unresponsive connection hides the removal, and the recovery of the store is noticed late.
--- a/packages/gateway/src/lib/duty/DataCentreChain.ts
+++ b/packages/gateway/src/lib/duty/DataCentreChain.ts
@@ -37,7 +37,7 @@
         return new Set(this.usedAt.keys());
     }
 
-    /** Whether the data centre has had no complete chain for longer than targets are given to return. */
+    /** Whether the data centre has had no complete chain for longer than {@link shiftDelay}. */
     get hasLongOutage(): boolean {
         return this.clock.now() - this.lastCompleteAt > shiftDelay;
     }
--- a/packages/gateway/src/lib/peers/GroupMembers.ts
+++ b/packages/gateway/src/lib/peers/GroupMembers.ts
@@ -15,7 +15,7 @@
      */
     aliveAt: number;
     /** When its heartbeat was last received here. */
-    heardAt: number;
+    receivedAt: number;
     /** Since when it is a relay of this process; undefined while it is none. */
     relaySince: number | undefined;
     /** Until when it is not chosen as a relay, because its heartbeats were missing. */
@@ -91,7 +91,7 @@
         const known = this.known(member);
         if (known !== undefined) {
             known.aliveAt = this.options.clock.now();
-            known.heardAt = known.aliveAt;
+            known.receivedAt = known.aliveAt;
         }
     }
 
@@ -123,11 +123,11 @@
     }
 
     /** The first gateways of the own data centre by address: this process and those whose heartbeats it receives. */
-    get heardLocal(): readonly string[] {
+    get localSenders(): readonly string[] {
         const { own, clock } = this.options;
         const bound = clock.now() - relayTimeout;
-        const heard = this.of(own.dataCentre).filter(({ heardAt }) => heardAt >= bound);
-        return [own, ...heard].map(({ address }) => address).sort().slice(0, reportedCount);
+        const senders = this.of(own.dataCentre).filter(({ receivedAt }) => receivedAt >= bound);
+        return [own, ...senders].map(({ address }) => address).sort().slice(0, reportedCount);
     }
 
     /** The first live gateways of another data centre by address. */
@@ -159,8 +159,8 @@
 
     private skipSilentRelays(now: number): void {
         for (const member of this.members.values()) {
-            const { relaySince, heardAt } = member;
-            if (relaySince !== undefined && now - Math.max(relaySince, heardAt) > relayTimeout) {
+            const { relaySince, receivedAt } = member;
+            if (relaySince !== undefined && now - Math.max(relaySince, receivedAt) > relayTimeout) {
                 member.skippedUntil = now + relaySkipTime;
             }
         }
@@ -178,7 +178,7 @@
             dataCentre,
             addedAt: clock.now(),
             aliveAt: -Infinity,
-            heardAt: -Infinity,
+            receivedAt: -Infinity,
             relaySince: undefined,
             skippedUntil: -Infinity,
         };
--- a/packages/gateway/src/lib/peers/PeerExchange.ts
+++ b/packages/gateway/src/lib/peers/PeerExchange.ts
@@ -237,7 +237,8 @@
     /**
      * Members of the own data centre to probe: possible relays while none is known, and after the start all members
      * from the store's table once. Without these introductions, two groups of one data centre with relays of their own
-     * never discovered each other, and took the duty from each other 150 times within 50 s of a simulated day.
+     * never discovered each other, and took the placement duty from each other 150 times within 50 s of a simulated
+     * day.
      */
     private localProbes(): readonly string[] {
         const { own } = this.options;
@@ -256,14 +257,16 @@
      */
     private remoteRelays(): string[] {
         const relays = this.remotePeers().filter(({ near }) => near !== undefined);
-        const heard = new Set(relays.map(({ dataCentre }) => dataCentre));
+        const coveredDataCentres = new Set(relays.map(({ dataCentre }) => dataCentre));
         const others = this.members.remoteDataCentres.flatMap(dataCentre =>
-            heard.has(dataCentre) ? this.members.aliveIn(dataCentre) : this.members.nextRemoteProbes(dataCentre)
+            coveredDataCentres.has(dataCentre)
+                ? this.members.aliveIn(dataCentre)
+                : this.members.nextRemoteProbes(dataCentre)
         );
         return [...new Set([...relays.map(({ address }) => address), ...others])];
     }
 
-    /** Relays of other data centres that took this process for a relay; the reply names the actual relays. */
+    /** Relays of other data centres that address this process as a relay; the reply names the actual relays. */
     private remoteRelaysToAnswer(): string[] {
         return this.remotePeers().filter(({ near }) => near !== undefined).map(({ address }) => address);
     }
@@ -288,7 +291,7 @@
     /** The sum over the other gateways: the one of this process or of a relay, whichever covers the most gateways. */
     private sumOthers(): GroupSums {
         const own = addSums([this.sumLocal(emptySums), this.sumRemote()]);
-        const relayed = this.relayedSums.alive().sort((a, b) => b.heardAt - a.heardAt);
+        const relayed = this.relayedSums.alive().sort((a, b) => b.receivedAt - a.receivedAt);
         return largest([own, ...relayed.map(digest => this.told(digest))]);
     }
 
@@ -333,7 +336,7 @@
         const others = this.members.remoteDataCentres;
         const other = isElsewhere ? undefined : others[this.sequence % Math.max(1, others.length)];
         return {
-            [dataCentre]: [...this.members.heardLocal],
+            [dataCentre]: [...this.members.localSenders],
             ...other === undefined ? {} : { [other]: [...this.members.aliveIn(other)] },
         };
     }
--- a/packages/gateway/src/lib/peers/RecentPeers.test.ts
+++ b/packages/gateway/src/lib/peers/RecentPeers.test.ts
@@ -9,7 +9,7 @@
 function createPeers() {
     const clock = new ManualClock(50_000);
     const peers = new RecentPeers(clock);
-    const hear = (sequence: number, more: Partial<PeerState> = {}, incarnation = "1") =>
+    const receive = (sequence: number, more: Partial<PeerState> = {}, incarnation = "1") =>
         peers.receive({
             process: "p",
             incarnation,
@@ -20,34 +20,34 @@
             words: {},
             members: {},
         });
-    return { clock, peers, hear };
+    return { clock, peers, receive };
 }
 
 test("a heartbeat that arrives out of order is ignored", () => {
-    const { peers, hear } = createPeers();
-    hear(2, { dutyTerm: undefined });
-    assert.equal(hear(1, { dutyTerm: 7 }), "late");
+    const { peers, receive } = createPeers();
+    receive(2, { dutyTerm: undefined });
+    assert.equal(receive(1, { dutyTerm: 7 }), "late");
     assert.equal(peers.alive()[0]?.state?.dutyTerm, undefined);
 });
 
 test("a duplicate heartbeat is ignored", () => {
-    const { hear } = createPeers();
-    assert.equal(hear(2), "new");
-    assert.equal(hear(2), "late");
+    const { receive } = createPeers();
+    assert.equal(receive(2), "new");
+    assert.equal(receive(2), "late");
 });
 
 test("a restarted peer is accepted from its first heartbeat on", () => {
-    const { peers, hear } = createPeers();
-    assert.equal(hear(9_000), "new");
-    assert.equal(hear(5, {}, "2"), "new");
+    const { peers, receive } = createPeers();
+    assert.equal(receive(9_000), "new");
+    assert.equal(receive(5, {}, "2"), "new");
     assert.equal(peers.alive()[0]?.incarnation, "2");
 });
 
 test("a peer that sends no heartbeats is no longer alive after a second, and removed", () => {
-    const { clock, peers, hear } = createPeers();
-    hear(0);
+    const { clock, peers, receive } = createPeers();
+    receive(0);
     clock.advance(1_001);
     assert.deepEqual(peers.alive(), []);
     peers.removeExpired();
-    assert.equal(hear(1), "new");
+    assert.equal(receive(1), "new");
 });
--- a/packages/gateway/src/lib/peers/RecentPeers.ts
+++ b/packages/gateway/src/lib/peers/RecentPeers.ts
@@ -4,7 +4,7 @@
 /** The last heartbeat of a peer. */
 export interface Peer extends Heartbeat {
     /** When it was received, on this process's clock. */
-    readonly heardAt: number;
+    readonly receivedAt: number;
 }
 
 /** Milliseconds without a heartbeat after which a peer counts as failed: several consecutive losses. */
@@ -28,7 +28,7 @@
         if (isKnown && sequence <= known.sequence) {
             return "late";
         }
-        this.peers.set(process, { ...heartbeat, heardAt: this.clock.now() });
+        this.peers.set(process, { ...heartbeat, receivedAt: this.clock.now() });
         return isKnown ? "known" : "new";
     }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    private isFresh({ heardAt }: Peer): boolean {
-        return heardAt >= this.clock.now() - peerTimeout;
+    private isFresh({ receivedAt }: Peer): boolean {
+        return receivedAt >= this.clock.now() - peerTimeout;
     }
 }
--- a/packages/gateway/src/lib/peers/chooseWatchRole.ts
+++ b/packages/gateway/src/lib/peers/chooseWatchRole.ts
@@ -6,7 +6,7 @@
     readonly isRelay: boolean;
     /** Gateways that are not relays report to it. */
     readonly hasFollowers: boolean;
-    /** It holds the placement duty, or held it recently. */
+    /** It holds the lease on the placement duty, even if the store has not confirmed this recently. */
     readonly hasDuty: boolean;
 }
 
@@ -14,7 +14,7 @@
  * Determines how a gateway follows the store. The holder of the placement duty polls the store itself: it waits until
  * the list of targets is stable before its first plan, and the reports of relays bring the list in steps. With a plan
  * for the part of 130 targets that had been listed by then, chains had capacity for 117 instead of 131 requests, and
- * 0.85 of the requests of a day without faults were served (simulation with processor time).
+ * 0.85 of the requests of a day without faults were served, in a simulation that accounts for processor time.
  */
 export function chooseWatchRole({ isRelay, hasFollowers, hasDuty }: WatchPosition): WatchRole {
     if (hasFollowers) {
--- a/packages/gateway/src/lib/requests/CrashCheck.ts
+++ b/packages/gateway/src/lib/requests/CrashCheck.ts
@@ -36,11 +36,11 @@
     /** Calls either `send`, possibly after waiting for a turn, or `onRefused` with the reason for not sending. */
     checkBeforeSend(send: () => void, onRefused: (refusal: CrashRefusal) => void): void {
         this.end();
-        const standing = this.guard.getStatus(this.digest);
-        if (standing === "free") {
+        const requestStatus = this.guard.getStatus(this.digest);
+        if (requestStatus === "free") {
             send();
         }
-        else if (standing === "condemned") {
+        else if (requestStatus === "condemned") {
             onRefused(this.guard.condemned);
         }
         else {
--- a/packages/gateway/src/lib/store/TableWatch.ts
+++ b/packages/gateway/src/lib/store/TableWatch.ts
@@ -224,8 +224,8 @@
             this.wakeUp();
             return;
         }
-        // The table has not changed up to `seen`. Without this step the version known here would in time be older than
-        // the history of changes that the store keeps.
+        // The table has not changed up to `seen`. Without this step the version known here would eventually be older
+        // than the history of changes that the store keeps.
         this.version = Math.max(this.version, seen);
         const moment = { now: after.now - age, date: after.date - age };
         this.peerConfirmedAt = latest(this.peerConfirmedAt, moment);
--- a/packages/gateway/src/lib/testing/SimulatedGroup.ts
+++ b/packages/gateway/src/lib/testing/SimulatedGroup.ts
@@ -136,8 +136,8 @@
                 send: (to, datagram) => this.send(gateway, to, datagram),
                 describe: () => ({ ...gateway.state, ...describe() }),
                 words: () => this.describeTables(gateway),
-                onTableStatus: (name, word, after) =>
-                    name === table ? recordConfirmation(gateway, word, after) : undefined,
+                onTableStatus: (name, tableStatus, after) =>
+                    name === table ? recordConfirmation(gateway, tableStatus, after) : undefined,
                 onSums: others => {
                     gateway.size.record(others.members + 1);
                     listener(others);
--- a/packages/gateway/src/lib/upstream/Exchange.ts
+++ b/packages/gateway/src/lib/upstream/Exchange.ts
@@ -38,7 +38,7 @@
 
 /**
  * One request to a target and its reply, on a connection of its own. A connection that is never reused cannot carry a
- * late second reply or a partly read body over to another request, and cannot have died unnoticed while it was idle.
+ * late second reply or a partly read body over to another request, and cannot have failed unnoticed while it was idle.
  * Opening a connection takes 1 ms and costs about 0.2% of the value of a request.
  */
 export class Exchange {
