--- a/packages/history/src/testing/testPlantedViolations.ts
+++ b/packages/history/src/testing/testPlantedViolations.ts
@@ -6,7 +6,7 @@
 import { type HistoryBuilder } from "./HistoryBuilder.js";
 import { sampleHistory } from "./sampleHistory.js";
 
-/** A violation planted in the sample history. */
+/** A violation planted in the sample history, which one rule must report. */
 export interface PlantedViolation {
     readonly rule: HistoryRule;
     readonly request?: string;
@@ -61,7 +61,7 @@
     return (event: Event<"request.received">) => event.request === request;
 }
 
-/** Registers a test for each violation: planted in a valid history, its rule must find it. */
+/** Registers a test for each violation: its rule must find it when it is planted in a valid history. */
 export function testPlantedViolations(plantedViolations: Readonly<Record<string, PlantedViolation>>): void {
     for (const [name, { rule, request, message, apply }] of Object.entries(plantedViolations)) {
         void test(`caught: ${name}`, () => {
--- a/packages/proof/src/lib/callers/Callers.ts
+++ b/packages/proof/src/lib/callers/Callers.ts
@@ -43,9 +43,9 @@
 const retryDelay = 150;
 const claimedShare = 0.2;
 const publishShare = 0.6;
-/** Share of the calls with an idempotency key that are sent twice at the same moment. */
+/** Share of the calls with an idempotency key that are sent twice concurrently. */
 const concurrentDuplicateShare = 0.3;
-/** Share of the calls with an idempotency key that are sent again later. */
+/** Share of the calls with an idempotency key that are repeated later. */
 const delayedDuplicateShare = 0.3;
 /** Milliseconds after which a delayed duplicate is sent. */
 const duplicateDelay = 4000;
@@ -55,8 +55,8 @@
 
 /**
  * Open-loop callers: requests are sent at fixed rates regardless of the outcome of earlier ones. A failed request is
- * retried at the next entry under the same idempotency key. Some requests with a key are sent twice at the same moment,
- * and some are sent again seconds later.
+ * retried at the next entry under the same idempotency key. Some requests with a key are sent twice concurrently, and
+ * some are repeated seconds later.
  *
  * @internal
  */
--- a/packages/proof/src/lib/report/Recovery.ts
+++ b/packages/proof/src/lib/report/Recovery.ts
@@ -10,8 +10,8 @@
     readonly medianGap: number | undefined;
     readonly longestGap: number | undefined;
     /**
-     * Time from the fault until the rate of tokens over 2 s reaches 75 % of the rate before the fault again; 0 if it
-     * never fell below, undefined if it did not recover.
+     * Time from the fault until the rate of tokens over 2 s has recovered to 75 % of the rate before the fault; 0 if
+     * it never fell below that, undefined if it did not recover.
      */
     readonly goodputRecoveryTime: number | undefined;
     /** The lowest rate of tokens over 2 s after the fault, as a fraction of the rate before it. */
--- a/packages/proof/src/lib/report/plantedViolations.ts
+++ b/packages/proof/src/lib/report/plantedViolations.ts
@@ -1,6 +1,6 @@
 import { type HistoryLine, type HistoryRule } from "@waxwingspar/history";
 
-/** A change to a history that must make one rule report a violation. @internal */
+/** A violation planted in the history of a run, which one rule must report. @internal */
 export interface PlantedViolation {
     readonly rule: HistoryRule;
     readonly description: string;
@@ -57,7 +57,7 @@
     return new Set(lines.flatMap(line => isLine(line, "tokens.sent") ? [line.body.request] : []));
 }
 
-/** Copies a work.accepted line of a target that leaves to a time after the bound of its leaving. */
+/** Copies a work.accepted line of a leaving target to a time after the bound of its `target.leaving` event. */
 function acceptWorkAfterBound(lines: readonly HistoryLine[]): HistoryLine[] | undefined {
     const leaving = lines.filter(line => isLine(line, "target.leaving"))
         .find(({ body }) => lines.some(line => isLine(line, "work.accepted") && line.body.target === body.target));
@@ -69,7 +69,7 @@
     return replaceLine(lines, leaving, line => [line, late]);
 }
 
-/** Violations of every rule that are planted into the history of a real run. @internal */
+/** Violations of every rule that are planted in the history of a real run. @internal */
 export const plantedViolations: readonly PlantedViolation[] = [
     {
         rule: "recording",
--- a/packages/proof/src/lib/runScenario.test.ts
+++ b/packages/proof/src/lib/runScenario.test.ts
@@ -52,7 +52,7 @@
     assert.ok(result.history.rules["at-most-once"].passed > 0);
 });
 
-// Callers send requests again under the same idempotency keys at both entries, at the same moment and seconds later.
+// Callers repeat requests under the same idempotency keys at both entries, concurrently and seconds later.
 // A claim that a restored copy of the store lacks must not let such a request run a second time.
 test("no request runs twice when the store is restored from copies that lack its claim", options, async t => {
     const scenario = findScenario("store-copy");
--- a/packages/proof/src/lib/scenarios/networkScenarios.ts
+++ b/packages/proof/src/lib/scenarios/networkScenarios.ts
@@ -13,7 +13,7 @@
 const linkSlow: Scenario = {
     name: "link-slow",
     row: "link slows 100x",
-    summary: "every link of an agent of stage 2 is 60 ms late one way (0.6 ms times 100) and passes 1 Mbit/s, for 5 s",
+    summary: "every link of an agent of stage 2 has 60 ms of one-way delay (0.6 ms times 100) and 1 Mbit/s, for 5 s",
     async run({ site, random, markFault }) {
         const victim = `stage-2-${1 + random.below(2)}`;
         markFault();
--- a/packages/proof/src/lib/scenarios/operatorsRace.ts
+++ b/packages/proof/src/lib/scenarios/operatorsRace.ts
@@ -37,11 +37,11 @@
     return response.status;
 }
 
-/** In each round two operators write the same resource at the same time, from the same version. */
+/** In each round two operators concurrently write the same resource from the same version. */
 export const operatorsRace: Scenario = {
     name: "operators-race",
     row: "two operators race",
-    summary: "20 times two operators at two entries change one resource at the same version and moment",
+    summary: "20 times two operators at two entries concurrently change one resource from the same version",
     async run({ site, markFault, check }) {
         markFault();
         let version = (await read(site, "entry-1")).resourceVersion;
--- a/packages/proof/src/lib/scenarios/processScenarios.ts
+++ b/packages/proof/src/lib/scenarios/processScenarios.ts
@@ -16,7 +16,7 @@
 const stageDies: Scenario = {
     name: "stage-dies",
     row: "stage dies mid-token",
-    summary: "SIGKILL of an agent of stage 2 and its engine; the live list tells 3 s later",
+    summary: "SIGKILL of an agent of stage 2 and its engine; the live list shows it 3 s later",
     async run(context) {
         const { site, markFault } = context;
         const victim = pick(context, near(2));
@@ -30,7 +30,7 @@
 const headDies: Scenario = {
     name: "head-dies",
     row: "stage dies mid-token",
-    summary: "SIGKILL of an agent of stage 1, which heads requests and holds claims, and its engine",
+    summary: "SIGKILL of an agent of stage 1, which is the head of requests and holds claims, and its engine",
     async run(context) {
         const { site, markFault } = context;
         const victim = pick(context, near(1));
@@ -59,7 +59,7 @@
 const entryDies: Scenario = {
     name: "entry-dies",
     row: "entry dies mid-stream",
-    summary: "SIGKILL of an entry; it starts again 3 s later; callers repeat at another entry under the same key",
+    summary: "SIGKILL of an entry; it starts again 3 s later; callers retry at another entry under the same key",
     async run(context) {
         const { site, markFault } = context;
         const victim = pick(context, ["entry-1", "entry-2", "entry-3"]);
@@ -90,7 +90,7 @@
     row: "lease lapses while paused, the holder resumes",
     summary:
         "SIGSTOP of the holders of all three control duties (leases of 3 s), of an entry, which owns claims, and of "
-        + "an agent beside the plain service, for 7 s, then SIGCONT; holders look at their lease once for many orders",
+        + "an agent beside the plain service, for 7 s, then SIGCONT; holders check their lease once for many orders",
     async run(context) {
         const { site, markFault, check } = context;
         const centres = ["dc1", "dc2", "dc3"];
@@ -132,7 +132,7 @@
 const rollingReplacement: Scenario = {
     name: "rolling-replacement",
     row: "host leaves while the live list lags",
-    summary: "SIGTERM and a new start at the same address of every daemon of dc1, one after the other, under load",
+    summary: "SIGTERM and restart at the same address of every daemon of dc1, one after the other, under load",
     async run({ site, markFault }) {
         markFault();
         for (const name of ["stage-1-1", "stage-2-1", "stage-3-1", "records-1", "entry-1"]) {
--- a/packages/proof/src/lib/scenarios/storeScenarios.ts
+++ b/packages/proof/src/lib/scenarios/storeScenarios.ts
@@ -59,7 +59,7 @@
     name: "store-answers-lost",
     row: "store down an hour, slow, answer lost after the write",
     summary:
-        "12 times in 6 s the next two writes take effect and lose their answers, and one is lost before its effect",
+        "12 times in 6 s the next two writes take effect but their answers are lost, and one is lost before its effect",
     async run({ site, markFault }) {
         markFault();
         for (let round = 0; round < lossRounds; round++) {
@@ -94,7 +94,7 @@
 const storeCopy: Scenario = {
     name: "store-copy",
     row: "the store comes back from an older copy (the own interface)",
-    summary: "three times the table service is away for 0.5 s and comes back from a copy that is 1.5 s old",
+    summary: "three times the table service is down for 0.5 s and is restored from a copy that is 1.5 s old",
     async run(context) {
         const { site, markFault } = context;
         markFault();
