--- a/packages/engine/src/lib/EngineServer.ts
+++ b/packages/engine/src/lib/EngineServer.ts
@@ -54,7 +54,7 @@
         });
     }
 
-    /** Stops listening and closes every connection at once, as if the engine's host had crashed. */
+    /** Stops listening and closes every connection immediately, as if the engine's host had crashed. */
     async stop(): Promise<void> {
         const closed = new Promise(resolve => this.server.close(resolve));
         this.server.closeAllConnections();
--- a/packages/engine/src/lib/http/connectionFailure.ts
+++ b/packages/engine/src/lib/http/connectionFailure.ts
@@ -3,7 +3,7 @@
 /** The name of the error that aborts a call after its timeout. @internal */
 export const timeoutErrorName = "EngineTimeout";
 
-const connectCodes = new Set(["UND_ERR_CONNECT_TIMEOUT", "ENOTFOUND", "EAI_AGAIN"]);
+const connectErrorCodes = new Set(["UND_ERR_CONNECT_TIMEOUT", "ENOTFOUND", "EAI_AGAIN"]);
 
 /**
  * Converts an error of the HTTP client to a failure. Only an error while opening the connection proves that nothing was
@@ -29,5 +29,5 @@
         return false;
     }
     const { code, syscall } = error as NodeJS.ErrnoException;
-    return syscall === "connect" || (code !== undefined && connectCodes.has(code));
+    return syscall === "connect" || (code !== undefined && connectErrorCodes.has(code));
 }
--- a/packages/load/src/lib/run/HttpCaller.test.ts
+++ b/packages/load/src/lib/run/HttpCaller.test.ts
@@ -73,7 +73,7 @@
     assert.equal((await unread.call(call)).outcome, "broken");
 });
 
-test("tells a site that cannot be reached from one that does not answer", async context => {
+test("distinguishes a site that cannot be reached from one that does not answer", async context => {
     const silent = await startSite(context, () => undefined, 50);
     assert.equal((await silent.call(call)).outcome, "timed out");
     const unreachable = new HttpCaller(new SystemClock(), "http://127.0.0.1:1", 60_000);
--- a/packages/load/src/lib/run/HttpCaller.ts
+++ b/packages/load/src/lib/run/HttpCaller.ts
@@ -9,7 +9,13 @@
 const connectTimeout = 5000;
 
 /** Error codes of connections that were never opened. */
-const connectErrors = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ENOTFOUND", "UND_ERR_CONNECT_TIMEOUT"]);
+const connectErrorCodes = new Set([
+    "ECONNREFUSED",
+    "EHOSTUNREACH",
+    "ENETUNREACH",
+    "ENOTFOUND",
+    "UND_ERR_CONNECT_TIMEOUT",
+]);
 
 /**
  * Sends calls to a site over HTTP.
@@ -71,5 +77,5 @@
 
 function outcomeOf(error: unknown): "not connected" | "broken" {
     const code = error instanceof Error && "code" in error ? String(error.code) : "";
-    return connectErrors.has(code) ? "not connected" : "broken";
+    return connectErrorCodes.has(code) ? "not connected" : "broken";
 }
--- a/packages/stores/src/lib/TokenBucket.ts
+++ b/packages/stores/src/lib/TokenBucket.ts
@@ -9,7 +9,7 @@
     readonly clock: Clock;
     /** Permits per second. */
     readonly rate: number;
-    /** The most permits that can accumulate while none are taken. */
+    /** The maximum number of permits that can accumulate while none are taken. */
     readonly burst?: number;
 }
 
--- a/packages/stores/src/lib/client/StoreClient.ts
+++ b/packages/stores/src/lib/client/StoreClient.ts
@@ -24,11 +24,11 @@
     /** This process's share of the fleet's writes per second. */
     readonly writesPerSecond: number;
     /**
-     * The most permits of each kind that can accumulate. All processes may spend theirs at the same moment, so keep it
-     * at 1 except for the few holders of a control duty.
+     * The maximum number of permits of each kind that can accumulate. All processes may spend theirs at the same
+     * moment, so keep it at 1 except for the few holders of a control duty.
      */
     readonly burst?: number;
-    /** The longest wait for a permit, in milliseconds; a call that would wait longer is refused at once. */
+    /** The longest wait for a permit, in milliseconds; a call that would wait longer is refused immediately. */
     readonly maxWait?: number;
     /** Milliseconds after which a call without a response ends with an unknown outcome. */
     readonly timeout?: number;
--- a/packages/stores/src/lib/http/PlatformConnection.ts
+++ b/packages/stores/src/lib/http/PlatformConnection.ts
@@ -19,7 +19,7 @@
 export interface PlatformConnectionOptions {
     /** The origin of the platform's HTTP interface, such as `http://127.0.0.1:8090`. */
     readonly origin: string;
-    /** The most connections to keep open. */
+    /** The maximum number of open connections. */
     readonly connections?: number;
     /** Milliseconds to wait for a connection. */
     readonly connectTimeout?: number;
--- a/packages/transport/src/lib/tcp/LinkServer.ts
+++ b/packages/transport/src/lib/tcp/LinkServer.ts
@@ -26,7 +26,7 @@
     readonly methods?: Readonly<Record<string, RpcMethod>>;
     readonly clock?: Clock;
     readonly limits?: LinkLimits;
-    /** The most links open at the same time; further connections are closed immediately. Default 20000. */
+    /** The maximum number of open links; further connections are closed immediately. Default 20000. */
     readonly maxLinks?: number;
     /** Runs for every new link, before its first message. */
     readonly onLink?: (link: Link) => void;
--- a/packages/transport/src/lib/tcp/StreamWire.ts
+++ b/packages/transport/src/lib/tcp/StreamWire.ts
@@ -12,7 +12,7 @@
     readonly maxFrame: number;
     /** The largest frame that is accepted before {@link StreamWire.allowLargeFrames}, in bytes. */
     readonly maxFirstFrame: number;
-    /** The most bytes that may be queued; beyond it the wire fails with `peerTooSlow`. */
+    /** The maximum number of queued bytes; beyond it the wire fails with `peerTooSlow`. */
     readonly maxQueued: number;
     /** Handles each message; a returned failure closes the wire. */
     readonly onMessage: (message: Message) => Failure | undefined;
--- a/packages/transport/src/lib/tcp/TcpLink.ts
+++ b/packages/transport/src/lib/tcp/TcpLink.ts
@@ -17,7 +17,7 @@
 export interface LinkLimits {
     /** The largest frame in either direction, in bytes. Default 32 MiB. */
     readonly maxFrame?: number;
-    /** The most bytes that may be queued before the link is closed because the peer is too slow. Default 64 MiB. */
+    /** The maximum number of queued bytes; beyond it the link is closed, since the peer is too slow. Default 64 MiB. */
     readonly maxQueued?: number;
     /** Milliseconds to connect and to receive the peer's hello. Default 2000. */
     readonly connectTimeout?: number;
--- a/packages/transport/src/lib/tcp/TcpLinkPool.ts
+++ b/packages/transport/src/lib/tcp/TcpLinkPool.ts
@@ -49,7 +49,7 @@
     notBefore: number;
 }
 
-/** The most addresses whose state is kept; beyond it the oldest without a link or attempt are evicted. */
+/** The maximum number of addresses whose state is kept; beyond it the oldest without a link or attempt are evicted. */
 const maxSlots = 20_000;
 
 /**
