--- a/packages/cli/src/lib/explain/explainRequest.test.ts
+++ b/packages/cli/src/lib/explain/explainRequest.test.ts
@@ -53,12 +53,12 @@
 });
 
 test("the context includes a store that was restored from a copy", () => {
-    const drill = [
+    const restoreLogs = [
         line(1_000, "a", "process: store came back from a copy", { era: 2, before: 1 }),
         line(1_010, "a", "process: table read after a copy", { table: "op", doubt: 9 }),
         line(1_400, "a", "request: request ended", { request: "r1", status: 200 }),
     ];
-    const { contexts } = explainRequest("r1", drill);
+    const { contexts } = explainRequest("r1", restoreLogs);
     assert.deepEqual(contexts.get("a")?.map(({ msg }) => msg), [
         "process: store came back from a copy",
         "process: table read after a copy",
--- a/packages/cli/src/lib/explain/explainRequest.ts
+++ b/packages/cli/src/lib/explain/explainRequest.ts
@@ -10,8 +10,8 @@
 /** What the logs contain about one request. */
 export interface Explanation {
     /**
-     * The lines that name the request, and those that suspect or judge requests with the same digest, in the order of
-     * their time.
+     * The lines that name the request, and those that report a request with the same digest as suspect or judged, in
+     * chronological order.
      */
     readonly timeline: readonly LogLine[];
     /** For each process that handled the request: its state, and recent events there, when the request ended. */
--- a/packages/cli/src/lib/nodes/ControlComponent.ts
+++ b/packages/cli/src/lib/nodes/ControlComponent.ts
@@ -17,9 +17,9 @@
 
 /** Times in milliseconds; see the options of the control package. @internal */
 export interface ControlTimes {
-    /** How long a lease lasts. */
+    /** Duration of a lease. */
     readonly duration?: number;
-    /** Between two steps of the duty. */
+    /** Interval between two steps of the duty. */
     readonly interval?: number;
     readonly drainDelay?: number;
     readonly observeInterval?: number;
--- a/packages/cli/src/lib/scripts/runTests.test.ts
+++ b/packages/cli/src/lib/scripts/runTests.test.ts
@@ -20,7 +20,7 @@
     if (knownRed !== undefined) {
         writeFileSync(join(folder, "KNOWN-RED.txt"), knownRed);
     }
-    // Node.js runs no tests in a process that it takes for a child of another test runner.
+    // Node.js runs no tests in a process that it considers a child of another test runner.
     const env = { ...process.env, NODE_TEST_CONTEXT: undefined };
     const { status, stdout, stderr } = spawnSync(process.execPath, [script], { cwd: folder, env, encoding: "utf8" });
     const lines = stdout.split("\n").filter(line => /^(known red|failed)/.test(line));
--- a/packages/cli/src/processes.test.ts
+++ b/packages/cli/src/processes.test.ts
@@ -15,7 +15,8 @@
 
 const question = { model: "demo", prompt: "What drifts?", maxTokens: 30 };
 const maxAttempts = 240;
-const askInterval = 250;
+/** Milliseconds between two requests while the model is not served. */
+const retryInterval = 250;
 
 /** The ports that the example files use. */
 const examplePorts = [7000, 7001, 7002, 8080, 8081, 8101, 8102, 9000, 9101, 9102];
@@ -61,7 +62,7 @@
     // The agents hold no layers at first: the control duty has to place the model and order the loading of its layers.
     for (let attempt = 0; (await ask()).text === ""; attempt++) {
         assert.ok(attempt < maxAttempts, "the model is not served");
-        await delay(askInterval);
+        await delay(retryInterval);
     }
     return { folder, spawned, entry, agents, standIns, ask };
 }
--- a/scripts/known-red.mjs
+++ b/scripts/known-red.mjs
@@ -1,5 +1,5 @@
-// Reads KNOWN-RED.txt, the list of tests that may fail for a time (PACKAGE: TEST | CAUSE | ISSUE, at most three lines),
-// and judges a test run by it.
+// Reads KNOWN-RED.txt, the list of tests that may fail temporarily (PACKAGE: TEST | CAUSE | ISSUE, at most three
+// lines), and judges a test run by it.
 import { existsSync, readFileSync } from "node:fs";
 import { relative, sep } from "node:path";
 
